--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -18,18 +18,18 @@
 import msgspec
 
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.books import PlacedRun, WorkerBooks
+from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import Epoch, JobId, RunNumber, Seconds, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.model import AdviceCost, JobSpec, StepSpec
 from orchidrail.work.records import JobRecord, TaskPhase
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
-from orchidrail.workers.lease import RunLease
 from orchidrail.workers.port import RunKey
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 from standins.model.load import Draw, QueueLoad
--- a/orchidrail/cli/tests/test_wait_summary.py
+++ b/orchidrail/cli/tests/test_wait_summary.py
@@ -8,7 +8,7 @@
 
 from orchidrail.cli.explain import explain
 from orchidrail.cli.wait_summary import summarize_waits
-from orchidrail.shard.obstacles import Obstacle
+from orchidrail.shard.eligibility import Obstacle
 
 _JOB = '0123456789abcdef'
 
--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from orchidrail.cli.explain import LogLine, is_over
-from orchidrail.shard.obstacles import Obstacle
-from orchidrail.shard.open_questions import QuestionState
+from orchidrail.shard.eligibility import Obstacle
+from orchidrail.shard.pending_advice import QuestionState
 
 _WAITING = 'tasks wait'
 _WORDS_BY_OBSTACLE = {
--- a/orchidrail/deciding/admission.py
+++ b/orchidrail/deciding/admission.py
@@ -4,7 +4,7 @@
 
 from random import Random
 
-from orchidrail.spread import spread
+from orchidrail.jitter import spread
 from orchidrail.types import ClassName, Seconds
 
 _SMOOTHING = 0.05
--- a/orchidrail/gateway/daemon.py
+++ b/orchidrail/gateway/daemon.py
@@ -21,10 +21,10 @@
 )
 from orchidrail.gateway.verdicts import Reply
 from orchidrail.invariants import Invariants
+from orchidrail.jitter import spread
 from orchidrail.keys import ParsedKey, parse_key
 from orchidrail.logstream.follower import Follower
 from orchidrail.metrics import GatewayMetrics
-from orchidrail.spread import spread
 from orchidrail.types import (
     ClassName,
     JobId,
--- a/orchidrail/gateway/request_runner.py
+++ b/orchidrail/gateway/request_runner.py
@@ -19,9 +19,9 @@
     Reply,
 )
 from orchidrail.invariants import Invariant, Invariants
+from orchidrail.jitter import spread
 from orchidrail.jobs.attempts import ClaimNote
 from orchidrail.keys import ParsedKey
-from orchidrail.spread import spread
 from orchidrail.types import (
     Address,
     CallFailure,
--- a/orchidrail/ingress/desk.py
+++ b/orchidrail/ingress/job_forwarder.py
@@ -13,7 +13,7 @@
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.peers.table import PeerTable
 from orchidrail.shard.owner import ShardOwner
-from orchidrail.shard.stored import StoredState, read_state
+from orchidrail.shard.stored_state import StoredState, read_state
 from orchidrail.types import (
     CallFailure,
     JobId,
--- a/orchidrail/ingress/tests/test_desk.py
+++ b/orchidrail/ingress/tests/test_desk.py
@@ -4,7 +4,7 @@
 
 import time
 
-from orchidrail.ingress.desk import JobDesk
+from orchidrail.ingress.job_forwarder import JobDesk
 from orchidrail.journal import JournalView
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.peers.table import PeerTable
--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -11,11 +11,12 @@
 import structlog
 from result import Ok
 
+from orchidrail.background_tasks import TaskSet
 from orchidrail.clocks import elapsed
-from orchidrail.ingress.desk import JobDesk
-from orchidrail.ingress.gate import Gate
+from orchidrail.ingress.authentication import Gate
+from orchidrail.ingress.job_forwarder import JobDesk
 from orchidrail.instance.config_follower import ConfigFollower
-from orchidrail.instance.hand_over import HandOverDesk
+from orchidrail.instance.handover import HandOverDesk
 from orchidrail.instance.ownership import Ownership
 from orchidrail.instance.peer_service import PeerService
 from orchidrail.instance.settings import InstanceSettings
@@ -36,11 +37,10 @@
     PlatformLog,
 )
 from orchidrail.platform.worker_calls import PlatformAdvice, PlatformWorkers
-from orchidrail.shard.authority import lease_for
+from orchidrail.shard.lease_timing import lease_for
 from orchidrail.shard.owner import OwnerPorts
 from orchidrail.store import Topic
 from orchidrail.store.relay import RawAnswer, RawCall, RelayedCaller
-from orchidrail.tasks import TaskSet
 from orchidrail.types import InstanceId, Seconds, WorkerId, WorkerName
 from orchidrail.wire.messages import (
     AdviceGiven,
@@ -48,7 +48,7 @@
 )
 from orchidrail.wire.transport import MessageServer, TcpTransport
 from orchidrail.work.model import MemberInfo
-from orchidrail.workers.lives import split_life
+from orchidrail.workers.incarnations import split_life
 from orchidrail.workers.port import Advice, NamedTickets
 
 _log = structlog.get_logger()
--- a/orchidrail/peers/pinger.py
+++ b/orchidrail/peers/pinger.py
@@ -8,8 +8,8 @@
 
 from result import Ok
 
+from orchidrail.background_tasks import TaskSet
 from orchidrail.peers.table import PeerTable
-from orchidrail.tasks import TaskSet
 from orchidrail.types import Seconds
 from orchidrail.wire.messages import PeerState
 from orchidrail.wire.transport import Transport
--- a/orchidrail/platform/callers.py
+++ b/orchidrail/platform/callers.py
@@ -15,8 +15,8 @@
 
 from orchidrail.clocks import elapsed
 from orchidrail.http_handlers import as_handler
-from orchidrail.ingress.desk import DeskAnswer, JobDesk
-from orchidrail.ingress.gate import Gate, Turned
+from orchidrail.ingress.authentication import Gate, Turned
+from orchidrail.ingress.job_forwarder import DeskAnswer, JobDesk
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.platform.documents import decode_job
 from orchidrail.types import JobId, Seconds, TenantId, WorkCode
--- a/orchidrail/platform/documents.py
+++ b/orchidrail/platform/documents.py
@@ -26,8 +26,8 @@
     StepSpec,
 )
 from orchidrail.work.size import Size
-from orchidrail.workers.entries import BadEntry, EntryFlaw
-from orchidrail.workers.lives import SEPARATOR
+from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
+from orchidrail.workers.incarnations import SEPARATOR
 from orchidrail.workers.port import WorkerEntry, WorkerState
 
 _MILLIS = 1000
--- a/orchidrail/platform/http_calls.py
+++ b/orchidrail/platform/http_calls.py
@@ -12,15 +12,15 @@
 import aiohttp
 import structlog
 
+from orchidrail.background_tasks import TaskSet
 from orchidrail.clocks import elapsed
-from orchidrail.platform.greetings import (
+from orchidrail.platform.verified_connections import (
     Greeting,
     GreetingConnector,
     NotGreetedError,
     wanted_for,
 )
 from orchidrail.store.relay import RawAnswer, RawCall
-from orchidrail.tasks import TaskSet
 from orchidrail.types import Address, Seconds
 
 _log = structlog.get_logger()
--- a/orchidrail/platform/tests/test_callers.py
+++ b/orchidrail/platform/tests/test_callers.py
@@ -8,7 +8,7 @@
 
 from blacksheep import URL
 
-from orchidrail.ingress.desk import DeskAnswer
+from orchidrail.ingress.job_forwarder import DeskAnswer
 from orchidrail.platform.callers import CallerApi
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import WorkCode
--- a/orchidrail/platform/tests/test_codecs.py
+++ b/orchidrail/platform/tests/test_codecs.py
@@ -8,8 +8,8 @@
 from result import Err
 
 from orchidrail.platform import configuration, documents
-from orchidrail.platform.greetings import Greeting
 from orchidrail.platform.store_log import PlatformLog
+from orchidrail.platform.verified_connections import Greeting
 from orchidrail.platform.worker_calls import PlatformWorkers
 from orchidrail.store import (
     Appended,
@@ -26,7 +26,7 @@
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import Epoch, Offset, RunNumber, TaskKey
 from orchidrail.work.size import Size
-from orchidrail.workers.entries import EntryFlaw
+from orchidrail.workers.entry_errors import EntryFlaw
 from orchidrail.workers.port import (
     HoldOrder,
     Listing,
--- a/orchidrail/platform/tests/test_tenants.py
+++ b/orchidrail/platform/tests/test_tenants.py
@@ -14,8 +14,8 @@
 from blacksheep import URL
 from result import Result
 
-from orchidrail.ingress.desk import DeskAnswer
-from orchidrail.ingress.gate import Gate
+from orchidrail.ingress.authentication import Gate
+from orchidrail.ingress.job_forwarder import DeskAnswer
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.platform.callers import CallerApi
 from orchidrail.platform.configuration import decode_config
--- a/orchidrail/platform/worker_calls.py
+++ b/orchidrail/platform/worker_calls.py
@@ -10,8 +10,8 @@
 import structlog
 
 from orchidrail.platform.fields import UNREADABLE
-from orchidrail.platform.greetings import Greeting
 from orchidrail.platform.http_calls import HttpCaller
+from orchidrail.platform.verified_connections import Greeting
 from orchidrail.store.relay import RawAnswer, RawCall
 from orchidrail.types import (
     Address,
--- a/orchidrail/properties/test_tenant_ledger.py
+++ b/orchidrail/properties/test_tenant_ledger.py
@@ -18,10 +18,10 @@
     rule,
 )
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
 from orchidrail.shard.tenant_ledger import TenantLedger, holding_of
-from orchidrail.shard.tests.test_placing import make_books
-from orchidrail.shard.unresolved import UnresolvedRuns
+from orchidrail.shard.tests.test_worker_selection import make_books
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.unresolved_runs import UnresolvedRuns
 from orchidrail.types import JobId, RunNumber, TenantId, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.model import JobSpec, StepSpec
--- a/orchidrail/scheduler/compaction.py
+++ b/orchidrail/scheduler/compaction.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from orchidrail.bundles.records import encode_record as encode_bundle_record
+from orchidrail.jitter import spread
 from orchidrail.jobs.records import encode_record
-from orchidrail.spread import spread
 from orchidrail.types import JobId, Seconds
 
 if TYPE_CHECKING:
--- a/orchidrail/scheduler/job_desk.py
+++ b/orchidrail/scheduler/job_desk.py
@@ -10,6 +10,7 @@
 
 from orchidrail.bundles.model import WorkKind
 from orchidrail.deciding.engine import Declined, WorkItem
+from orchidrail.jitter import spread
 from orchidrail.jobs.attempts import job_claim
 from orchidrail.jobs.records import (
     JobAccepted,
@@ -20,7 +21,6 @@
 from orchidrail.jobs.witnesses import Witness
 from orchidrail.keys import extend_key
 from orchidrail.logservice.ports import LogFailure
-from orchidrail.spread import spread
 from orchidrail.types import (
     JobId,
     JobState,
--- a/orchidrail/scheduler/job_runner.py
+++ b/orchidrail/scheduler/job_runner.py
@@ -16,6 +16,7 @@
 from result import Err, Ok
 
 from orchidrail.deciding.engine import Declined, WorkItem
+from orchidrail.jitter import spread
 from orchidrail.jobs.attempts import Attempt, ClaimNote
 from orchidrail.jobs.owned_job import (
     RULES,
@@ -33,7 +34,6 @@
     JobOverError,
     RefusedMarkerError,
 )
-from orchidrail.spread import spread
 from orchidrail.types import (
     FINAL_TASK_STATES,
     JobId,
--- a/orchidrail/shard/objections.py
+++ b/orchidrail/shard/admission.py
@@ -7,7 +7,7 @@
 import structlog
 
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.stored import StoredState
+from orchidrail.shard.stored_state import StoredState
 from orchidrail.types import Seconds, TenantId, WorkCode
 from orchidrail.work.model import JobSpec, QueueSettings, size_at_once
 from orchidrail.work.tenant import Tenant
--- a/orchidrail/shard/advice_desk.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -14,15 +14,15 @@
 
 import structlog
 
-from orchidrail.shard.fading_peak import FadingPeak
-from orchidrail.shard.question_line import (
+from orchidrail.background_tasks import TaskSet
+from orchidrail.shard.advice_queue import (
     LONGEST_WAIT,
     PendingAnswer,
     Question,
     QuestionLine,
     WaitingQuestion,
 )
-from orchidrail.tasks import TaskSet
+from orchidrail.shard.decaying_peak import FadingPeak
 from orchidrail.types import InstanceId, Seconds, WorkerId
 from orchidrail.workers.port import Advice
 
--- a/orchidrail/shard/questions.py
+++ b/orchidrail/shard/advice_requester.py
@@ -8,17 +8,17 @@
 from functools import partial
 from typing import NamedTuple
 
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.approvals import Approvals
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.open_workers import may_use
-from orchidrail.shard.placing import Placement, choose_workers
-from orchidrail.shard.question_line import Question
+from orchidrail.background_tasks import TaskSet
+from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_queue import Question
+from orchidrail.shard.approval_rates import Approvals
+from orchidrail.shard.candidate_workers import may_use
+from orchidrail.shard.colocation import gets_on
 from orchidrail.shard.ranking import Rank, is_overdue
-from orchidrail.shard.roles import gets_on
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.tasks import TaskSet
+from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState, in_turn
--- a/orchidrail/shard/held_back_gangs.py
+++ b/orchidrail/shard/blocked_gangs.py
@@ -12,8 +12,8 @@
 
 import structlog
 
-from orchidrail.shard.silences import silent_for
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.worker_contact import silent_for
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.records import TaskPhase
--- a/orchidrail/shard/open_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -12,9 +12,9 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from orchidrail.shard.books import TaskRole, WorkerBooks, role_of
-from orchidrail.shard.placing import suits
-from orchidrail.shard.roles import may_share, waits_too_long
+from orchidrail.shard.colocation import may_share, waits_too_long
+from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
+from orchidrail.shard.worker_selection import suits
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/roles.py
+++ b/orchidrail/shard/colocation.py
@@ -12,7 +12,12 @@
 
 from collections.abc import Iterable
 
-from orchidrail.shard.books import PlacedRun, TaskRole, WorkerBooks, role_of
+from orchidrail.shard.tracked_worker import (
+    PlacedRun,
+    TaskRole,
+    WorkerBooks,
+    role_of,
+)
 from orchidrail.types import Seconds
 from orchidrail.work.step import StepState
 
--- a/orchidrail/shard/blame.py
+++ b/orchidrail/shard/crash_attribution.py
@@ -6,8 +6,7 @@
 
 import structlog
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.crashes import (
+from orchidrail.shard.crash_evidence import (
     CrashWatch,
     LifeEnd,
     LostRun,
@@ -15,6 +14,7 @@
     suspicion_of,
 )
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import Address, RunNumber, Seconds, WorkerId
 from orchidrail.work.records import FailureCause
 from orchidrail.work.step import Task
--- a/orchidrail/shard/crashes.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber, Seconds
 from orchidrail.work.step import Task
 
--- a/orchidrail/shard/obstacles.py
+++ b/orchidrail/shard/eligibility.py
@@ -15,7 +15,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/fleet.py
+++ b/orchidrail/shard/fleet.py
@@ -11,12 +11,12 @@
 import structlog
 from result import Ok, Result
 
+from orchidrail.background_tasks import TaskSet
 from orchidrail.journal import JournalView
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.crashes import LifeEnd
+from orchidrail.shard.crash_evidence import LifeEnd
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.tasks import TaskSet
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.types import (
     Epoch,
     Seconds,
@@ -25,9 +25,9 @@
     WorkerName,
 )
 from orchidrail.work.records import worker_values
-from orchidrail.workers.entries import BadEntry, EntryFlaw
-from orchidrail.workers.lease import RunLease
+from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
 from orchidrail.workers.port import WorkerCalls, WorkerEntry, WorkerState
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 
 _log = structlog.get_logger()
--- a/orchidrail/shard/headroom.py
+++ b/orchidrail/shard/headroom.py
@@ -9,8 +9,8 @@
 
 from collections import defaultdict
 
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.fading_peak import FadingPeak
+from orchidrail.shard.decaying_peak import FadingPeak
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.types import Seconds, ServiceName
 
 #: Most of the service's open room that is ever kept.
--- a/orchidrail/shard/earlier_runs.py
+++ b/orchidrail/shard/inherited_runs.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Callable
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.crashes import LifeEnd
+from orchidrail.shard.crash_evidence import LifeEnd
 from orchidrail.shard.run_ends import RunEnds
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.records import TaskPhase
 from orchidrail.work.step import Task
-from orchidrail.workers.lives import split_life
+from orchidrail.workers.incarnations import split_life
 from orchidrail.workers.port import ActiveRun, RunKey
 
 
--- a/orchidrail/shard/authority.py
+++ b/orchidrail/shard/lease_timing.py
@@ -12,7 +12,7 @@
 from __future__ import annotations
 
 from orchidrail.types import Seconds
-from orchidrail.workers.lease import SLOWEST_CLOCK
+from orchidrail.workers.run_lease import SLOWEST_CLOCK
 
 #: Leases are no longer than this, though the platform may allow more: a task
 #: that lasts is to run again within 10 s of its worker's loss, and the end of a
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -7,14 +7,14 @@
 
 import structlog
 
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.held_back_gangs import HeldBackGangs
+from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.blocked_gangs import HeldBackGangs
 from orchidrail.shard.long_waits import LongWaits
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.state import ShardState
 from orchidrail.types import Seconds, TenantId
 from orchidrail.work.tenant import Tenant
-from orchidrail.work.waits import WaitReason
+from orchidrail.work.wait_times import WaitReason
 
 _log = structlog.get_logger()
 _REPORT_EVERY: Seconds = 1.0
--- a/orchidrail/shard/long_waits.py
+++ b/orchidrail/shard/long_waits.py
@@ -12,12 +12,12 @@
 
 import structlog
 
-from orchidrail.shard.obstacles import FleetSurvey, WorkerSurvey
-from orchidrail.shard.silences import silent_for
+from orchidrail.shard.eligibility import FleetSurvey, WorkerSurvey
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.worker_contact import silent_for
 from orchidrail.types import JobId, QueueName, Seconds, WorkerId
 from orchidrail.work.step import StepState
-from orchidrail.work.waits import WaitReason
+from orchidrail.work.wait_times import WaitReason
 
 _log = structlog.get_logger()
 #: Waits below this are usual where advice is needed.
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -13,19 +13,19 @@
 from orchidrail.journal import JournalView, JournalWriter
 from orchidrail.journal.writer import Commit
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_desk import AdviceDesk, AskThrough
-from orchidrail.shard.authority import doubt_until, renew_for
-from orchidrail.shard.fleet import DecodeEntry, Fleet
-from orchidrail.shard.load_report import LoadReport
-from orchidrail.shard.objections import (
+from orchidrail.shard.admission import (
     Objection,
     Objections,
     object_to_known,
 )
+from orchidrail.shard.advice_dispatcher import AdviceDesk, AskThrough
+from orchidrail.shard.fleet import DecodeEntry, Fleet
+from orchidrail.shard.lease_timing import doubt_until, renew_for
+from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.stored import StoredState, read_state
+from orchidrail.shard.stored_state import StoredState, read_state
 from orchidrail.shard.tenant_ledger import FindTenant, Holding, unknown_tenant
 from orchidrail.types import (
     InstanceId,
@@ -47,7 +47,7 @@
     read_jobs,
 )
 from orchidrail.work.tenant import NOBODY, Tenant
-from orchidrail.workers.lives import life_of
+from orchidrail.workers.incarnations import life_of
 from orchidrail.workers.port import RunKey, WorkerCalls
 
 _log = structlog.get_logger()
--- a/orchidrail/shard/passes.py
+++ b/orchidrail/shard/placement_pass.py
@@ -4,15 +4,15 @@
 
 from typing import NamedTuple
 
-from orchidrail.shard.books import TaskRole, WorkerBooks, role_of
-from orchidrail.shard.earmarks import (
+from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.headroom import Headroom
+from orchidrail.shard.ranking import Rank, Timing, rank_overdue
+from orchidrail.shard.reservations import (
     choose_earmarks,
     crowded,
     needs_earmarks,
 )
-from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.open_workers import OpenWorkers
-from orchidrail.shard.ranking import Rank, Timing, rank_overdue
+from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
 from orchidrail.types import (
     JobId,
     Seconds,
@@ -22,7 +22,7 @@
 )
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState, Task
-from orchidrail.work.waits import WaitReason
+from orchidrail.work.wait_times import WaitReason
 
 #: Steps that wait with room kept free for them, most urgent first.
 _EARMARKS = 2
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -6,20 +6,20 @@
 import contextlib
 from operator import itemgetter
 
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_requester import TICKET_MARGIN, Questions
 from orchidrail.shard.due_times import DueTimes
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.long_waits import WaitingWork
-from orchidrail.shard.passes import Pass, Rooms, WaitingStep
-from orchidrail.shard.placing import Placement, choose_workers
-from orchidrail.shard.questions import TICKET_MARGIN, Questions
+from orchidrail.shard.placement_pass import Pass, Rooms, WaitingStep
 from orchidrail.shard.ranking import Rank, time_step
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import JobId, Seconds, WorkerId
 from orchidrail.work.step import StepState, Task, in_turn
-from orchidrail.work.waits import WaitReason
+from orchidrail.work.wait_times import WaitReason
 
 #: Least time between two passes; they take at most half of all time, so that
 #: orders and looks go on beside them.
--- a/orchidrail/shard/earmarks.py
+++ b/orchidrail/shard/reservations.py
@@ -8,7 +8,7 @@
 
 import math
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -8,10 +8,10 @@
 import structlog
 
 from orchidrail.journal.writer import Commit
-from orchidrail.shard.books import PlacedRun, WorkerBooks
+from orchidrail.shard.quarantine import Standings
 from orchidrail.shard.ranking import due_at
-from orchidrail.shard.standing import Standings
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber, Seconds
 from orchidrail.work.job import Job
 from orchidrail.work.records import TaskPhase
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -9,22 +9,22 @@
 
 import structlog
 
+from orchidrail.background_tasks import TaskSet
 from orchidrail.journal.writer import Commit
-from orchidrail.shard.blame import CrashJudge
-from orchidrail.shard.books import (
+from orchidrail.shard.colocation import filling, part
+from orchidrail.shard.crash_attribution import CrashJudge
+from orchidrail.shard.crash_evidence import LifeEnd
+from orchidrail.shard.inherited_runs import EarlierRuns
+from orchidrail.shard.run_ends import RunEnds
+from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import (
     PROVEN_AFTER,
     PlacedRun,
     WorkerBooks,
     note_answers,
     note_progress,
 )
-from orchidrail.shard.crashes import LifeEnd
-from orchidrail.shard.earlier_runs import EarlierRuns
-from orchidrail.shard.placing import Placement
-from orchidrail.shard.roles import filling, part
-from orchidrail.shard.run_ends import RunEnds
-from orchidrail.shard.state import ShardState
-from orchidrail.tasks import TaskSet
+from orchidrail.shard.worker_selection import Placement
 from orchidrail.types import Address, RunNumber, Seconds, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.records import TaskPhase
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -8,16 +8,16 @@
 from orchidrail.journal import JournalWriter
 from orchidrail.journal.writer import Commit
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.open_questions import OpenQuestions
-from orchidrail.shard.pace import Paces
-from orchidrail.shard.shares import Shares
+from orchidrail.shard.fair_shares import Shares
+from orchidrail.shard.pending_advice import OpenQuestions
 from orchidrail.shard.tenant_ledger import (
     FindTenant,
     TenantLedger,
     unknown_tenant,
 )
-from orchidrail.shard.unresolved import UnresolvedRuns
+from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.unresolved_runs import UnresolvedRuns
+from orchidrail.shard.worker_speed import Paces
 from orchidrail.types import (
     Epoch,
     JobId,
@@ -37,7 +37,7 @@
     worker_key,
 )
 from orchidrail.work.step import Task
-from orchidrail.workers.lives import split_life
+from orchidrail.workers.incarnations import split_life
 from orchidrail.workers.port import WorkerEntry
 
 _KEY_PARTS = 4
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from orchidrail.shard.fading_peak import FadingPeak
+from orchidrail.shard.decaying_peak import FadingPeak
 from orchidrail.types import Seconds, TenantId
 from orchidrail.work.model import size_at_once
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/fleet_case.py
+++ b/orchidrail/shard/tests/fleet_case.py
@@ -26,7 +26,7 @@
 from orchidrail.work.records import encode
 from orchidrail.work.step import Task
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.workers.entries import BadEntry, EntryFlaw
+from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
 from orchidrail.workers.port import (
     WorkerEntry,
 )
--- a/orchidrail/shard/tests/test_advice_desk.py
+++ b/orchidrail/shard/tests/test_advice_dispatcher.py
@@ -5,8 +5,8 @@
 import asyncio
 import time
 
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.question_line import Question
+from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_queue import Question
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import InstanceId, Seconds, WorkerId
 from orchidrail.workers.port import Advice
--- a/orchidrail/shard/tests/test_held_back_gangs.py
+++ b/orchidrail/shard/tests/test_blocked_gangs.py
@@ -6,7 +6,7 @@
 
 from structlog.testing import capture_logs
 
-from orchidrail.shard.held_back_gangs import HeldBackGangs
+from orchidrail.shard.blocked_gangs import HeldBackGangs
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.model import StepSpec
--- a/orchidrail/shard/tests/test_open_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -4,10 +4,10 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.open_workers import OpenWorkers
-from orchidrail.shard.placing import choose_workers
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, TaskKey, WorkerId
 from orchidrail.work.model import AdviceCost, StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_roles.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -6,11 +6,11 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.open_workers import OpenWorkers
-from orchidrail.shard.tests.test_open_workers import advised
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.tests.test_candidate_workers import advised
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import JobId, RunNumber, Seconds
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_crashes.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -14,16 +14,16 @@
 
 import msgspec
 
-from orchidrail.shard.books import PROVEN_AFTER, PlacedRun
-from orchidrail.shard.crashes import (
+from orchidrail.shard.crash_evidence import (
     CrashWatch,
     LifeEnd,
     LostRun,
     suspicion_of,
 )
-from orchidrail.shard.placing import choose_workers
-from orchidrail.shard.tests.test_placing import make_books, make_step
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import PROVEN_AFTER, PlacedRun
+from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.job import GIVEN_UP_AT, Job
 from orchidrail.work.model import StepSpec
--- a/orchidrail/shard/tests/test_obstacles.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -4,9 +4,9 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.obstacles import FleetSurvey, Obstacle, WorkerSurvey
-from orchidrail.shard.tests.test_open_workers import advised, fill
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.eligibility import FleetSurvey, Obstacle, WorkerSurvey
+from orchidrail.shard.tests.test_candidate_workers import advised, fill
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
 from orchidrail.types import WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -7,7 +7,6 @@
 
 import msgspec
 
-from orchidrail.shard.books import WorkerBooks
 from orchidrail.shard.owner import ShardOwner
 from orchidrail.shard.tests.fleet_case import (
     JOB,
@@ -15,6 +14,7 @@
     WORKERS,
     FleetTestCase,
 )
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.store import KeyedRecord
 from orchidrail.types import (
     Seconds,
--- a/orchidrail/shard/tests/test_headroom.py
+++ b/orchidrail/shard/tests/test_headroom.py
@@ -5,9 +5,9 @@
 import msgspec
 from testtools import TestCase
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -6,10 +6,10 @@
 
 from structlog.testing import capture_logs
 
-from orchidrail.shard.advice_desk import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
-from orchidrail.shard.tests.test_open_workers import advised
+from orchidrail.shard.tests.test_candidate_workers import advised
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import InstanceId, Seconds
 from orchidrail.work.model import StepSpec
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -10,7 +10,7 @@
 
 from orchidrail.shard import long_waits
 from orchidrail.shard.long_waits import LongWaits, WaitingWork
-from orchidrail.shard.tests.test_open_workers import advised, fill
+from orchidrail.shard.tests.test_candidate_workers import advised, fill
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -9,13 +9,13 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.candidate_workers import OpenWorkers, may_use
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.open_workers import OpenWorkers, may_use
-from orchidrail.shard.passes import Pass, WaitingStep
+from orchidrail.shard.placement_pass import Pass, WaitingStep
 from orchidrail.shard.ranking import Timing, is_overdue
-from orchidrail.shard.tests.test_open_workers import fill
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.tests.test_candidate_workers import fill
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_open_questions.py
+++ b/orchidrail/shard/tests/test_pending_advice.py
@@ -5,10 +5,10 @@
 import asyncio
 
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.open_questions import OpenQuestions, QuestionState
-from orchidrail.shard.question_line import Question
-from orchidrail.shard.tests.test_placing import make_step
+from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_queue import Question
+from orchidrail.shard.pending_advice import OpenQuestions, QuestionState
+from orchidrail.shard.tests.test_worker_selection import make_step
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import InstanceId, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -12,13 +12,13 @@
 from orchidrail.journal import JournalView, JournalWriter
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.long_waits import LongWaits, WaitingWork
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tests.test_due_times import make_timed_job
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.store import Topic
 from orchidrail.store.memory import MemoryStore, StoreFault
 from orchidrail.testing import AsyncTestCase
@@ -36,9 +36,9 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.work.waits import WaitReason
-from orchidrail.workers.lease import RunLease
+from orchidrail.work.wait_times import WaitReason
 from orchidrail.workers.port import Advice
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
--- a/orchidrail/shard/tests/test_standing.py
+++ b/orchidrail/shard/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.standing import Standings
+from orchidrail.shard.quarantine import Standings
 from orchidrail.types import JobId, Seconds, WorkerId
 
 _WORKER = WorkerId('w')
--- a/orchidrail/shard/tests/test_earmarks.py
+++ b/orchidrail/shard/tests/test_reservations.py
@@ -6,15 +6,15 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.earmarks import (
+from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.reservations import (
     choose_earmarks,
     needs_earmarks,
     time_left,
     time_to_room,
 )
-from orchidrail.shard.open_workers import OpenWorkers
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_room.py
+++ b/orchidrail/shard/tests/test_room.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.tests.test_placing import make_books
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
+from orchidrail.shard.tests.test_worker_selection import make_books
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.store.memory import MemoryStore, StoreFault
 from orchidrail.work.model import StepSpec
 from orchidrail.work.records import TaskPhase
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -11,11 +11,15 @@
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard import runs
-from orchidrail.shard.books import PlacedRun, WorkerBooks, note_progress
-from orchidrail.shard.crashes import LifeEnd
-from orchidrail.shard.placing import Placement
+from orchidrail.shard.crash_evidence import LifeEnd
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import (
+    PlacedRun,
+    WorkerBooks,
+    note_progress,
+)
+from orchidrail.shard.worker_selection import Placement
 from orchidrail.store import Topic
 from orchidrail.store.memory import MemoryStore, StoreFault
 from orchidrail.testing import AsyncTestCase
@@ -34,7 +38,6 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.workers.lease import RunLease
 from orchidrail.workers.port import (
     ActiveRun,
     OrderAnswer,
@@ -42,6 +45,7 @@
     RunEnding,
     RunKey,
 )
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
--- a/orchidrail/shard/tests/test_waits_of_the_placer.py
+++ b/orchidrail/shard/tests/test_waits_of_the_placer.py
@@ -11,11 +11,11 @@
 from orchidrail.journal import JournalView, JournalWriter
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_desk import AdviceDesk
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
+from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.store import Topic
 from orchidrail.store.memory import MemoryStore
 from orchidrail.testing import AsyncTestCase
@@ -33,8 +33,8 @@
 from orchidrail.work.size import Size
 from orchidrail.work.tenant import NOBODY, Tenant
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.workers.lease import RunLease
 from orchidrail.workers.port import Advice, OrderResult
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
--- a/orchidrail/shard/tests/test_whole_wait.py
+++ b/orchidrail/shard/tests/test_whole_wait.py
@@ -8,14 +8,14 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.books import WorkerBooks
+from orchidrail.shard.candidate_workers import OpenWorkers
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.open_workers import OpenWorkers
-from orchidrail.shard.passes import Pass, WaitingStep
-from orchidrail.shard.placing import choose_workers
+from orchidrail.shard.placement_pass import Pass, WaitingStep
 from orchidrail.shard.ranking import Timing
-from orchidrail.shard.tests.test_open_workers import advised, fill
-from orchidrail.shard.tests.test_placing import make_books, make_step
+from orchidrail.shard.tests.test_candidate_workers import advised, fill
+from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/tests/test_placing.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -7,16 +7,16 @@
 import msgspec
 from testtools import TestCase
 
-from orchidrail.shard.books import PlacedRun, WorkerBooks
-from orchidrail.shard.pace import Pace
-from orchidrail.shard.placing import choose_workers, suits
+from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.worker_selection import choose_workers, suits
+from orchidrail.shard.worker_speed import Pace
 from orchidrail.types import Epoch, RunNumber, TaskKey
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.workers.lease import RunLease
 from orchidrail.workers.port import RunKey
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
--- a/orchidrail/shard/books.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -8,12 +8,12 @@
 
 import msgspec
 
-from orchidrail.shard.pace import Pace
 from orchidrail.shard.tenant_ledger import (
     Holding,
     TenantLedger,
     holding_of,
 )
+from orchidrail.shard.worker_speed import Pace
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
--- a/orchidrail/shard/placing.py
+++ b/orchidrail/shard/worker_selection.py
@@ -5,8 +5,8 @@
 from collections import defaultdict
 from typing import NamedTuple
 
-from orchidrail.shard.books import WorkerBooks
-from orchidrail.shard.pace import Pace
+from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.worker_speed import Pace
 from orchidrail.work.model import StepSpec
 from orchidrail.work.step import StepState, Task
 
--- a/orchidrail/store/relay.py
+++ b/orchidrail/store/relay.py
@@ -10,7 +10,7 @@
 
 import structlog
 
-from orchidrail.tasks import TaskSet
+from orchidrail.background_tasks import TaskSet
 from orchidrail.types import Seconds
 
 _log = structlog.get_logger()
--- a/orchidrail/tests/test_clocks.py
+++ b/orchidrail/tests/test_clocks.py
@@ -21,7 +21,7 @@
 from orchidrail.store.memory import MemoryStore
 from orchidrail.types import Address, Epoch, InstanceId, Seconds
 from orchidrail.work.model import MemberInfo
-from orchidrail.workers.lease import RunLease
+from orchidrail.workers.run_lease import RunLease
 
 _SUSPENDED: Seconds = 60
 _SOON: Seconds = 5
--- a/orchidrail/tests/test_tasks.py
+++ b/orchidrail/tests/test_tasks.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from orchidrail.tasks import TaskSet
+from orchidrail.background_tasks import TaskSet
 from orchidrail.testing import AsyncTestCase
 
 
--- a/orchidrail/work/job.py
+++ b/orchidrail/work/job.py
@@ -23,7 +23,7 @@
 )
 from orchidrail.work.step import StepState, Task
 from orchidrail.work.tenant import Tenant
-from orchidrail.work.waits import Waits
+from orchidrail.work.wait_times import Waits
 from orchidrail.workers.port import RunEnding
 
 #: Suspicion from which a task is given up, and its job with it.
--- a/orchidrail/work/step.py
+++ b/orchidrail/work/step.py
@@ -10,7 +10,7 @@
 from orchidrail.work.model import StepSpec
 from orchidrail.work.permits import Permits
 from orchidrail.work.records import TaskPhase, TaskRow
-from orchidrail.workers.lives import life_of, split_life
+from orchidrail.workers.incarnations import life_of, split_life
 
 if TYPE_CHECKING:
     from orchidrail.work.job import Job
--- a/orchidrail/workers/port.py
+++ b/orchidrail/workers/port.py
@@ -18,7 +18,7 @@
     WorkerName,
 )
 from orchidrail.work.size import Size
-from orchidrail.workers.lives import life_of
+from orchidrail.workers.incarnations import life_of
 
 
 class WorkerState(Enum):
--- a/orchidrail/workers/session.py
+++ b/orchidrail/workers/session.py
@@ -17,10 +17,9 @@
 import msgspec
 import structlog
 
-from orchidrail.tasks import TaskSet
+from orchidrail.background_tasks import TaskSet
 from orchidrail.types import Epoch, Seconds, WorkerId
-from orchidrail.workers.lease import RunLease
-from orchidrail.workers.lives import life_of
+from orchidrail.workers.incarnations import life_of
 from orchidrail.workers.port import (
     HoldOrder,
     Listing,
@@ -31,6 +30,7 @@
     WorkerCalls,
     WorkerEntry,
 )
+from orchidrail.workers.run_lease import RunLease
 
 _log = structlog.get_logger()
 #: How long a worker may hold a look open; the lease is renewed with each.
--- a/orchidrail/workers/tests/test_lease.py
+++ b/orchidrail/workers/tests/test_lease.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from orchidrail.workers.lease import SLOWEST_CLOCK, RunLease
+from orchidrail.workers.run_lease import SLOWEST_CLOCK, RunLease
 
 _LONGEST = 6
 _times = st.floats(min_value=0, max_value=1000)
--- a/orchidrail/workers/tests/test_session.py
+++ b/orchidrail/workers/tests/test_session.py
@@ -8,8 +8,8 @@
 from testtools import TestCase
 
 from orchidrail.types import Epoch, RunNumber, Seconds, TaskKey
-from orchidrail.workers.lease import RunLease
 from orchidrail.workers.port import Listing, OrderResult, RunEnding, RunKey
+from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
--- a/standins/model/cell.py
+++ b/standins/model/cell.py
@@ -36,7 +36,7 @@
 from orchidrail.work.model import MemberInfo
 from orchidrail.work.size import Size
 from orchidrail.work.tenant import Tenant
-from orchidrail.workers.entries import BadEntry
+from orchidrail.workers.entry_errors import BadEntry
 from orchidrail.workers.port import WorkerEntry
 from standins.model.gangs import GANG_WAIT, LoneEnd
 from standins.model.judging import (
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -16,7 +16,7 @@
 
 import fire
 
-from orchidrail.shard.obstacles import Obstacle
+from orchidrail.shard.eligibility import Obstacle
 
 #: Part of a late job's time that a cause must have taken to be named.
 _LEAST_SHARE = 0.1
