--- a/orchidrail/cli/tests/test_wait_summary.py
+++ b/orchidrail/cli/tests/test_wait_summary.py
@@ -8,7 +8,7 @@
 
 from orchidrail.cli.explain import explain
 from orchidrail.cli.wait_summary import summarize_waits
-from orchidrail.shard.eligibility import Obstacle
+from orchidrail.shard.eligibility import IneligibleReason
 
 _JOB = '0123456789abcdef'
 
@@ -54,7 +54,7 @@
             self.assertIn(told, self.summary(_wait(1, 3, **field)))
 
     def test_each_obstacle_has_words(self) -> None:
-        for obstacle in Obstacle:
+        for obstacle in IneligibleReason:
             name = obstacle.value
             found = self.summary(_wait(1, 3, workers={name: 7}))
             self.assertNotIn(f'Workers: 7 {name}.', found)
--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -6,25 +6,31 @@
 from typing import Any
 
 from orchidrail.cli.explain import LogLine, is_over
-from orchidrail.shard.eligibility import Obstacle
+from orchidrail.shard.eligibility import IneligibleReason
 from orchidrail.shard.pending_advice import QuestionState
 
 _WAITING = 'tasks wait'
 _WORDS_BY_OBSTACLE = {
-    Obstacle.UNSUITED.value: 'of another kind or too small',
-    Obstacle.RESTS.value: 'resting after failures',
-    Obstacle.TRIAL.value: 'trying a task that may crash it',
-    Obstacle.CLOSED.value: 'draining, silent or gone',
-    Obstacle.NOT_ASKED.value: 'not asked about yet',
-    Obstacle.NOT_PERMITTED.value: 'not permitted',
-    Obstacle.HELD.value: 'full by what is held for questions of other steps',
-    Obstacle.ROOM.value: 'full',
-    Obstacle.COPIES.value: 'with as many tasks of the step as they may have',
-    Obstacle.ROLE.value: 'with tasks that must not be beside it',
-    Obstacle.KEPT.value: 'kept for other work',
-    Obstacle.FAILED.value: 'avoided, as a task of the step failed there',
-    Obstacle.TICKET.value: 'without a valid ticket',
-    Obstacle.NONE.value: 'with nothing that keeps them from it',
+    IneligibleReason.UNSUITED.value: 'of another kind or too small',
+    IneligibleReason.RESTS.value: 'resting after failures',
+    IneligibleReason.TRIAL.value: 'trying a task that may crash it',
+    IneligibleReason.CLOSED.value: 'draining, silent or gone',
+    IneligibleReason.NOT_ASKED.value: 'not asked about yet',
+    IneligibleReason.NOT_PERMITTED.value: 'not permitted',
+    IneligibleReason.HELD.value: (
+        'full by what is held for questions of other steps'
+    ),
+    IneligibleReason.ROOM.value: 'full',
+    IneligibleReason.COPIES.value: (
+        'with as many tasks of the step as they may have'
+    ),
+    IneligibleReason.ROLE.value: 'with tasks that must not be beside it',
+    IneligibleReason.KEPT.value: 'kept for other work',
+    IneligibleReason.FAILED.value: (
+        'avoided, as a task of the step failed there'
+    ),
+    IneligibleReason.TICKET.value: 'without a valid ticket',
+    IneligibleReason.NONE.value: 'with nothing that keeps them from it',
 }
 _WORDS_BY_STATE = {
     QuestionState.LINE.value: 'for a lane',
--- a/orchidrail/shard/admission.py
+++ b/orchidrail/shard/admission.py
@@ -23,7 +23,7 @@
 _TELL_EVERY: Seconds = 1.0
 
 
-class Objection(NamedTuple):
+class Rejection(NamedTuple):
     """Why a job is refused; nothing of it will ever run.
 
     Parameters
@@ -37,14 +37,14 @@
     retry_after: Seconds = 0
 
 
-def object_to_known(known: StoredState, tenant: Tenant) -> Objection | None:
+def check_known_job(known: StoredState, tenant: Tenant) -> Rejection | None:
     """Return why a job that comes again is refused: it is another tenant's."""
     if known.tenant and known.tenant != tenant.name:
-        return Objection(WorkCode.OTHERS_JOB)
+        return Rejection(WorkCode.OTHERS_JOB)
     return None
 
 
-class Objections:
+class AdmissionControl:
     """Looks for reasons to refuse new jobs.
 
     Parameters
@@ -63,7 +63,7 @@
         queue: QueueSettings,
         spec: JobSpec,
         tenant: Tenant,
-    ) -> Objection | None:
+    ) -> Rejection | None:
         """Return why a job can't be taken, if there is a reason.
 
         A task, or a gang, above its tenant's limit would wait for ever; its
@@ -73,14 +73,18 @@
         """
         current = self._state.ledger.current(tenant)
         if not self._fits(spec, current):
-            return Objection(WorkCode.NEVER_FITS)
-        owed_in = self._state.shares.owed_in(current)
-        if owed_in and not self._room_to_spare(queue):
-            self._tell_refused(current, owed_in)
-            return Objection(WorkCode.BEYOND_SHARE, owed_in)
+            return Rejection(WorkCode.NEVER_FITS)
+        time_until_within_share = self._state.shares.time_until_within_share(
+            current
+        )
+        if time_until_within_share and not self._room_to_spare(queue):
+            self._tell_refused(current, time_until_within_share)
+            return Rejection(WorkCode.BEYOND_SHARE, time_until_within_share)
         return None
 
-    def _tell_refused(self, tenant: Tenant, owed_in: Seconds) -> None:
+    def _tell_refused(
+        self, tenant: Tenant, time_until_within_share: Seconds
+    ) -> None:
         """Tell of refusals, at most each second for each tenant."""
         now = self._state.clock()
         told_at, untold = self._refused_by_tenant.get(tenant.name, (-1.0, 0))
@@ -93,7 +97,7 @@
             tenant=tenant.name,
             weight=tenant.weight,
             count=untold + 1,
-            owed_in=round(owed_in, 3),
+            owed_in=round(time_until_within_share, 3),
         )
 
     def _fits(self, spec: JobSpec, current: Tenant) -> bool:
--- a/orchidrail/shard/advice_dispatcher.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -22,7 +22,7 @@
     QuestionLine,
     WaitingQuestion,
 )
-from orchidrail.shard.decaying_peak import FadingPeak
+from orchidrail.shard.decaying_peak import DecayingPeak
 from orchidrail.types import InstanceId, Seconds, WorkerId
 from orchidrail.workers.port import Advice
 
@@ -76,7 +76,7 @@
         self._resting: set[InstanceId] = set()
         self._short_calls = 0
         self._long_calls = 0
-        self._short_peak = FadingPeak()
+        self._short_peak = DecayingPeak()
         self._tasks = TaskSet('call for advice')
 
     def use_lanes(self, lanes: list[InstanceId]) -> None:
--- a/orchidrail/shard/advice_requester.py
+++ b/orchidrail/shard/advice_requester.py
@@ -12,8 +12,8 @@
 from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.advice_queue import Question
 from orchidrail.shard.approval_rates import Approvals
-from orchidrail.shard.candidate_workers import may_use
-from orchidrail.shard.colocation import gets_on
+from orchidrail.shard.candidate_workers import may_place_on
+from orchidrail.shard.colocation import may_colocate
 from orchidrail.shard.ranking import Rank, is_overdue
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
@@ -238,11 +238,11 @@
         usable = [
             books
             for books in held
-            if may_use(step, books, now)
+            if may_place_on(step, books, now)
             and step.permits.fresh(books.worker, until)
             and books.worker in step.permits.good
             # Keeping room does not keep a task of another role away.
-            and gets_on(step, books, now)
+            and may_colocate(step, books, now)
         ]
         # The room was kept for the task whose turn it was.
         tasks = self._state.ledger.allow(step, in_turn(step.startable()))
--- a/orchidrail/shard/blocked_gangs.py
+++ b/orchidrail/shard/blocked_gangs.py
@@ -27,7 +27,7 @@
 _MOST_NAMED = 3
 
 
-class HeldBackGangs:
+class BlockedGangs:
     """Follows the gangs of a shard that are held back.
 
     Parameters
--- a/orchidrail/shard/candidate_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -12,9 +12,9 @@
 from operator import attrgetter
 from typing import NamedTuple
 
-from orchidrail.shard.colocation import may_share, waits_too_long
+from orchidrail.shard.colocation import may_share_worker, separation_expired
 from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
-from orchidrail.shard.worker_selection import suits
+from orchidrail.shard.worker_selection import matches_worker
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -40,7 +40,7 @@
     free_millicores: list[int]
 
 
-class OpenWorkers:
+class CandidateWorkers:
     """The open workers of one pass.
 
     Parameters
@@ -80,12 +80,12 @@
             for service, of_service in books_by_service.items()
         }
 
-    def keep(self, workers: set[WorkerId]) -> None:
+    def reserve(self, workers: set[WorkerId]) -> None:
         """Keep workers from the steps that come after."""
         self._kept |= workers
 
     @property
-    def kept(self) -> frozenset[WorkerId]:
+    def reserved(self) -> frozenset[WorkerId]:
         """The workers that are kept from the steps to come."""
         return self._kept
 
@@ -117,7 +117,7 @@
         """Whether a step has been held back for other work for long enough."""
         return self.overdue_since(step) is not None
 
-    def past_resting(self, step: StepState) -> bool:
+    def may_use_resting(self, step: StepState) -> bool:
         """Whether a step may go to workers that rest."""
         since = self.overdue_since(step)
         return since is not None and self._now - since > _OFF_RESTING_FOR
@@ -127,7 +127,7 @@
         by_room = self._by_service.get(service)
         return by_room.books if by_room else []
 
-    def of_kind(self, step: StepState) -> list[WorkerBooks]:
+    def with_label(self, step: StepState) -> list[WorkerBooks]:
         """Return the open workers with the label that a step needs."""
         need = step.job.queue.service, step.spec.label
         found = self._suitable_by_need.get(need)
@@ -147,7 +147,7 @@
             return []
         return self._suitable(step, [self._by_worker[one] for one in unknown])
 
-    def with_room(self, step: StepState) -> list[WorkerBooks]:
+    def with_free_capacity(self, step: StepState) -> list[WorkerBooks]:
         """Return the workers that may run a task of a step now.
 
         Workers on which its tasks failed of late are left out while another
@@ -156,13 +156,17 @@
         """
         step.failed_workers.forget_old(self._now)
         found = self._with_room(step)
-        if self._resting and self.past_resting(step) and not _hold(step, found):
+        if (
+            self._resting
+            and self.may_use_resting(step)
+            and not _hold(step, found)
+        ):
             found = found + self._resting_with_room(step)
         if not found or not step.failed_workers or not self._has_other(step):
             return found
         return [books for books in found if not self._avoided(step, books)]
 
-    def most_copies(self, spec: StepSpec, service: ServiceName) -> int:
+    def max_copies(self, spec: StepSpec, service: ServiceName) -> int:
         """Return how many of a step's tasks the largest worker holds."""
         return max(
             (
@@ -172,18 +176,18 @@
             default=0,
         )
 
-    def has_good(self, step: StepState) -> bool:
+    def has_permitted(self, step: StepState) -> bool:
         """Whether an open worker is known that may run a step."""
         if step.job.queue.advice is None:
-            return bool(self.of_kind(step))
+            return bool(self.with_label(step))
         return not self._by_worker.keys().isdisjoint(step.permits.good)
 
-    def good_for(self, step: StepState) -> list[WorkerBooks]:
+    def permitted_for(self, step: StepState) -> list[WorkerBooks]:
         """Return the usable workers known to be good, with room or without."""
-        of_kind = self.of_kind(step)
+        with_label = self.with_label(step)
         if step.job.queue.advice is not None:
-            of_kind = self._good_of(step, of_kind)
-        return self._suitable(step, of_kind)
+            with_label = self._good_of(step, with_label)
+        return self._suitable(step, with_label)
 
     def _suitable(
         self,
@@ -201,7 +205,7 @@
             if books.entry.service == service
             and books.worker not in self._kept
             and not self._avoided(step, books)
-            and suits(step.spec, books)
+            and matches_worker(step.spec, books)
         ]
         if role_of(step.spec) is not TaskRole.PLAIN:
             suitable = self._beside(step, suitable)
@@ -210,11 +214,11 @@
     def _with_room(self, step: StepState) -> list[WorkerBooks]:
         """Return the workers with room, beside tasks that the step bears."""
         size: Size = step.spec.charged
-        kept = frozenset() if self.overdue(step) else self._kept
+        reserved = frozenset() if self.overdue(step) else self._kept
         found = [
             books
             for books in self._with_processor_time(step, size.millicores)
-            if size.fits(books.free) and books.worker not in kept
+            if size.fits(books.free) and books.worker not in reserved
         ]
         if role_of(step.spec) is TaskRole.PLAIN:
             return found
@@ -230,7 +234,7 @@
             if books.entry.service == step.job.queue.service
             and (not advised or books.worker in step.permits.good)
             and step.spec.charged.fits(books.free)
-            and suits(step.spec, books)
+            and matches_worker(step.spec, books)
         ]
         return self._beside(step, found)
 
@@ -240,13 +244,15 @@
         found: list[WorkerBooks],
     ) -> list[WorkerBooks]:
         """Leave out those beside whose tasks a step's are not put."""
-        if waits_too_long(step, self._now):
+        if separation_expired(step, self._now):
             return [books for books in found if self._bears(step, books)]
         return [books for books in found if books.bears(step.spec)]
 
     def _bears(self, step: StepState, books: WorkerBooks) -> bool:
         """Whether a step that waits too long is put beside what runs there."""
-        return books.bears(step.spec) or may_share(step, books, self._now)
+        return books.bears(step.spec) or may_share_worker(
+            step, books, self._now
+        )
 
     def _with_processor_time(
         self,
@@ -305,22 +311,22 @@
 
     def _has_other(self, step: StepState) -> bool:
         """Whether a good worker is open that a step does not avoid."""
-        of_kind = self.of_kind(step)
+        with_label = self.with_label(step)
         if step.job.queue.advice is not None:
-            of_kind = self._good_of(step, of_kind)
-        return not all(self._avoided(step, books) for books in of_kind)
+            with_label = self._good_of(step, with_label)
+        return not all(self._avoided(step, books) for books in with_label)
 
     def _avoided(self, step: StepState, books: WorkerBooks) -> bool:
         return step.failed_workers.avoids(books.worker, self._now)
 
 
-def may_use(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_place_on(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
     """Whether tasks of a step may go to a worker, as far as its rest goes."""
     if books.open(now):
         return True
     since = step.waits_since()
-    waits_too_long = since is not None and now - since > _OFF_RESTING_FOR
-    return waits_too_long and books.able
+    wait_expired = since is not None and now - since > _OFF_RESTING_FOR
+    return wait_expired and books.able
 
 
 def _sort_by_room(of_service: list[WorkerBooks]) -> _ByRoom:
--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -33,20 +33,20 @@
 _PARTED_FOR: Seconds = 2.0
 
 
-def waits_too_long(step: StepState, now: Seconds) -> bool:
+def separation_expired(step: StepState, now: Seconds) -> bool:
     """Whether tasks of a step have waited for too long to be kept apart."""
     since = step.waits_since()
     return since is not None and now - since >= _KEPT_APART_FOR
 
 
-def gets_on(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_colocate(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
     """Whether a step's tasks may be put beside what runs on a worker now."""
     if books.bears(step.spec):
         return True
-    return waits_too_long(step, now) and may_share(step, books, now)
+    return separation_expired(step, now) and may_share_worker(step, books, now)
 
 
-def may_share(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_share_worker(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
     """Whether a step that waits too long may be put beside the other kind.
 
     What fills must be free to be stopped again, and must not have been stopped
@@ -58,11 +58,11 @@
         return not step.spec.may_miss
     return all(
         run.task is None or not run.task.step.spec.may_miss
-        for run in filling(books.run_by_key.values())
+        for run in best_effort_runs(books.run_by_key.values())
     )
 
 
-def filling(runs: Iterable[PlacedRun]) -> list[PlacedRun]:
+def best_effort_runs(runs: Iterable[PlacedRun]) -> list[PlacedRun]:
     """Return the runs among some that fill."""
     return [
         run
@@ -72,12 +72,12 @@
     ]
 
 
-def part(books: WorkerBooks, now: Seconds) -> list[PlacedRun]:
+def best_effort_to_evict(books: WorkerBooks, now: Seconds) -> list[PlacedRun]:
     """Return the runs to be stopped where answers have been late for long."""
     runs = books.run_by_key.values()
     if not any(now - run.late_since >= _LATE_FOR for run in runs):
         return []
-    found = filling(runs)
+    found = best_effort_runs(runs)
     if found:
         books.parted_until = now + _PARTED_FOR
     return found
--- a/orchidrail/shard/decaying_peak.py
+++ b/orchidrail/shard/decaying_peak.py
@@ -11,12 +11,12 @@
 _FORGETS_IN: Seconds = 10.0
 
 
-class FadingPeak:
+class DecayingPeak:
     """Follows one figure.
 
     Examples
     --------
-    >>> peak = FadingPeak()
+    >>> peak = DecayingPeak()
     >>> peak.note(8, now=0)
     >>> peak.note(3, now=0)
     >>> peak.at(now=0), round(peak.at(now=10), 1)
--- a/orchidrail/shard/due_times.py
+++ b/orchidrail/shard/due_times.py
@@ -34,7 +34,7 @@
         """Forget a job that has ended."""
         self._due_by_job.pop(job_id, None)
 
-    def take_due(self, wall: Seconds) -> list[JobId]:
+    def pop_due(self, wall: Seconds) -> list[JobId]:
         """Return the jobs with a round that has fallen due since."""
         jobs: list[JobId] = []
         while self._heap and self._heap[0][0] <= wall:
--- a/orchidrail/shard/eligibility.py
+++ b/orchidrail/shard/eligibility.py
@@ -25,7 +25,7 @@
 _MOST_NAMED = 3
 
 
-class Obstacle(Enum):
+class IneligibleReason(Enum):
     """Why a worker is not given a task; the first that holds is told."""
 
     #: It is of another kind, or too small even when it is idle.
@@ -56,14 +56,14 @@
     NONE = 'none'
 
 
-class WorkerSurvey(NamedTuple):
+class EligibilitySummary(NamedTuple):
     """What the workers of a service are to a step that waits.
 
     Parameters
     ----------
-    count_by_obstacle : Counter
+    count_by_reason : Counter
         All workers by what keeps them from the step.
-    obstacle_by_idle : dict
+    reason_by_idle_worker : dict
         Some of the permitted workers that run too little to be full for a task
         of the step, in order of their names.
     held : int
@@ -72,8 +72,8 @@
         Workers that were looked at one by one.
     """
 
-    count_by_obstacle: Counter[Obstacle]
-    obstacle_by_idle: dict[WorkerId, Obstacle]
+    count_by_reason: Counter[IneligibleReason]
+    reason_by_idle_worker: dict[WorkerId, IneligibleReason]
     held: int
     examined: int
 
@@ -82,7 +82,7 @@
     """What an obstacle is seen by."""
 
     step: StepState
-    kept: frozenset[WorkerId]
+    reserved: frozenset[WorkerId]
     now: Seconds
 
 
@@ -110,24 +110,32 @@
 
 
 #: What keeps a worker from all steps.
-_TEST_BY_CLOSING: dict[Obstacle, Callable[[WorkerBooks, Seconds], bool]] = {
-    Obstacle.RESTS: lambda books, now: now < books.rests_until,
-    Obstacle.TRIAL: lambda books, now: bool(books.trials),
-    Obstacle.CLOSED: lambda books, now: not books.open(now),
+_TEST_BY_CLOSING: dict[
+    IneligibleReason, Callable[[WorkerBooks, Seconds], bool]
+] = {
+    IneligibleReason.RESTS: lambda books, now: now < books.rests_until,
+    IneligibleReason.TRIAL: lambda books, now: bool(books.trials),
+    IneligibleReason.CLOSED: lambda books, now: not books.open(now),
 }
 #: What keeps an open and permitted worker from a step. In order: what holds for
 #: good first, what a question would end last.
-_TEST_BY_OBSTACLE: dict[Obstacle, Callable[[_Sight, WorkerBooks], bool]] = {
-    Obstacle.HELD: _is_held,
-    Obstacle.ROOM: _has_no_room,
-    Obstacle.COPIES: _has_most_copies,
-    Obstacle.ROLE: lambda sight, books: not books.bears(sight.step.spec),
-    Obstacle.KEPT: lambda sight, books: books.worker in sight.kept,
-    Obstacle.FAILED: lambda sight, books: sight.step.failed_workers.avoids(
-        books.worker,
-        sight.now,
+_TEST_BY_OBSTACLE: dict[
+    IneligibleReason, Callable[[_Sight, WorkerBooks], bool]
+] = {
+    IneligibleReason.HELD: _is_held,
+    IneligibleReason.ROOM: _has_no_room,
+    IneligibleReason.COPIES: _has_most_copies,
+    IneligibleReason.ROLE: lambda sight, books: (
+        not books.bears(sight.step.spec)
     ),
-    Obstacle.TICKET: _has_no_ticket,
+    IneligibleReason.KEPT: lambda sight, books: books.worker in sight.reserved,
+    IneligibleReason.FAILED: lambda sight, books: (
+        sight.step.failed_workers.avoids(
+            books.worker,
+            sight.now,
+        )
+    ),
+    IneligibleReason.TICKET: _has_no_ticket,
 }
 
 
@@ -145,13 +153,13 @@
         self._capacity = capacity
         self._labels = labels
         self.open_by_worker: dict[WorkerId, WorkerBooks] = {}
-        self.closed: list[tuple[WorkerBooks, Obstacle]] = []
+        self.closed: list[tuple[WorkerBooks, IneligibleReason]] = []
 
     def __len__(self) -> int:
         """Return how many workers are of the kind."""
         return len(self.open_by_worker) + len(self.closed)
 
-    def suits(self, spec: StepSpec) -> bool:
+    def matches_worker(self, spec: StepSpec) -> bool:
         """Whether an idle worker of the kind could run a step's tasks."""
         if spec.label and spec.label not in self._labels:
             return False
@@ -170,14 +178,14 @@
         self.closed.append((books, closing))
 
 
-class FleetSurvey:
+class FleetEligibility:
     """Tells what keeps workers from steps.
 
     Parameters
     ----------
     every : iterable of WorkerBooks
         Workers of all services.
-    kept : frozenset of str
+    reserved : frozenset of str
         Workers that are kept for some steps.
     now : float
         On the owner's steady clock, seconds.
@@ -186,24 +194,24 @@
     def __init__(
         self,
         every: Iterable[WorkerBooks],
-        kept: frozenset[WorkerId],
+        reserved: frozenset[WorkerId],
         now: Seconds,
     ) -> None:
         """Look at no worker yet."""
         self._every = every
-        self._kept = kept
+        self._kept = reserved
         self._now = now
 
-    def of(self, step: StepState) -> WorkerSurvey:
+    def of(self, step: StepState) -> EligibilitySummary:
         """Return what keeps each worker of a step's service from it."""
         service = step.job.queue.service
-        counts: Counter[Obstacle] = Counter()
-        idle: dict[WorkerId, Obstacle] = {}
+        counts: Counter[IneligibleReason] = Counter()
+        idle: dict[WorkerId, IneligibleReason] = {}
         examined = 0
         sight = _Sight(step, self._kept, self._now)
         for kind in self._kinds_by_service[service]:
-            if not kind.suits(step.spec):
-                counts[Obstacle.UNSUITED] += len(kind)
+            if not kind.matches_worker(step.spec):
+                counts[IneligibleReason.UNSUITED] += len(kind)
                 continue
             counts.update(closing for _, closing in kind.closed)
             idle.update(_idle_of_closed(step, kind))
@@ -212,11 +220,11 @@
             for books in permitted:
                 obstacle = _obstacle(sight, books)
                 counts[obstacle] += 1
-                if obstacle is not Obstacle.ROOM:
+                if obstacle is not IneligibleReason.ROOM:
                     idle[books.worker] = obstacle
         named = heapq.nsmallest(_MOST_NAMED, idle.items(), key=itemgetter(0))
         held = self._held_by_service[service]
-        return WorkerSurvey(+counts, dict(named), held, examined)
+        return EligibilitySummary(+counts, dict(named), held, examined)
 
     @cached_property
     def _kinds_by_service(self) -> defaultdict[ServiceName, list[_Kind]]:
@@ -246,17 +254,17 @@
         )
 
 
-def _obstacle(sight: _Sight, books: WorkerBooks) -> Obstacle:
+def _obstacle(sight: _Sight, books: WorkerBooks) -> IneligibleReason:
     for obstacle, holds in _TEST_BY_OBSTACLE.items():
         if holds(sight, books):
             return obstacle
-    return Obstacle.NONE
+    return IneligibleReason.NONE
 
 
 def _permitted(
     step: StepState,
     kind: _Kind,
-    counts: Counter[Obstacle],
+    counts: Counter[IneligibleReason],
 ) -> list[WorkerBooks]:
     """Return the open workers that are permitted, and count the others."""
     open_by_worker = kind.open_by_worker
@@ -265,8 +273,8 @@
     permits = step.permits
     good = open_by_worker.keys() & permits.good
     not_asked = len(open_by_worker.keys() - permits.known)
-    counts[Obstacle.NOT_ASKED] += not_asked
-    counts[Obstacle.NOT_PERMITTED] += (
+    counts[IneligibleReason.NOT_ASKED] += not_asked
+    counts[IneligibleReason.NOT_PERMITTED] += (
         len(open_by_worker) - not_asked - len(good)
     )
     return [open_by_worker[worker] for worker in good]
@@ -275,7 +283,7 @@
 def _idle_of_closed(
     step: StepState,
     kind: _Kind,
-) -> Iterator[tuple[WorkerId, Obstacle]]:
+) -> Iterator[tuple[WorkerId, IneligibleReason]]:
     """Yield the closed workers that are permitted and not full."""
     advised = step.job.queue.advice is not None
     for books, closing in kind.closed:
--- a/orchidrail/shard/fair_shares.py
+++ b/orchidrail/shard/fair_shares.py
@@ -19,7 +19,7 @@
 _CLUMP = 8
 
 
-class Shares:
+class FairShares:
     """Counts what each tenant hands in against what it is owed.
 
     Parameters
@@ -29,7 +29,7 @@
 
     Examples
     --------
-    >>> shares = Shares(lambda: 0)
+    >>> shares = FairShares(lambda: 0)
     >>> tenant = Tenant(TenantId('stores'), weight=2)
     >>> sum(shares.take(tenant) for _ in range(20))
     14
@@ -46,7 +46,7 @@
             return True
         return self._rate_of(tenant).take(self._clock())
 
-    def owed_in(self, tenant: Tenant) -> Seconds:
+    def time_until_within_share(self, tenant: Tenant) -> Seconds:
         """Return after how long the next job of a tenant is owed, 0 for now."""
         if not tenant.name:
             return 0
--- a/orchidrail/shard/headroom.py
+++ b/orchidrail/shard/headroom.py
@@ -9,7 +9,7 @@
 
 from collections import defaultdict
 
-from orchidrail.shard.decaying_peak import FadingPeak
+from orchidrail.shard.decaying_peak import DecayingPeak
 from orchidrail.shard.tracked_worker import WorkerBooks
 from orchidrail.types import Seconds, ServiceName
 
@@ -22,8 +22,8 @@
 
     def __init__(self) -> None:
         """Start without a peak."""
-        self._peak_by_service: dict[ServiceName, FadingPeak] = defaultdict(
-            FadingPeak
+        self._peak_by_service: dict[ServiceName, DecayingPeak] = defaultdict(
+            DecayingPeak
         )
         self._now: Seconds = 0
 
@@ -36,7 +36,7 @@
         for service, millicores in used.items():
             self._peak_by_service[service].note(millicores, now)
 
-    def left_for_others(
+    def available_to_others(
         self,
         service: ServiceName,
         usable: list[WorkerBooks],
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -8,8 +8,8 @@
 import structlog
 
 from orchidrail.shard.advice_dispatcher import AdviceDesk
-from orchidrail.shard.blocked_gangs import HeldBackGangs
-from orchidrail.shard.long_waits import LongWaits
+from orchidrail.shard.blocked_gangs import BlockedGangs
+from orchidrail.shard.long_waits import LongWaitReporter
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.state import ShardState
 from orchidrail.types import Seconds, TenantId
@@ -42,8 +42,8 @@
         self._state = state
         self._placer = placer
         self._desk = desk
-        self._long_waits = LongWaits(state)
-        self._held_back_gangs = HeldBackGangs(state)
+        self._long_waits = LongWaitReporter(state)
+        self._held_back_gangs = BlockedGangs(state)
 
     async def run(self) -> None:
         """Report until cancelled."""
@@ -59,8 +59,8 @@
         every = list(state.books_by_worker.values())
         work = self._placer.waiting_work()
         waiting_tasks = self._placer.waiting_tasks()
-        gauge_workers(state, waiting_tasks)
-        gauge_tenants(state)
+        update_worker_gauges(state, waiting_tasks)
+        update_tenant_gauges(state)
         self._long_waits.report(work)
         oldest_question = state.open_questions.longest_in_line()
         state.metrics.oldest_question.set(oldest_question)
@@ -91,7 +91,7 @@
         self._held_back_gangs.report(held_up)
 
 
-def gauge_workers(state: ShardState, waiting_tasks: int) -> None:
+def update_worker_gauges(state: ShardState, waiting_tasks: int) -> None:
     """Set the gauges of workers and of what waits for them."""
     metrics = state.metrics
     now = state.clock()
@@ -103,7 +103,7 @@
     metrics.unconfirmed.set(state.writer.unconfirmed_for())
 
 
-def gauge_tenants(state: ShardState) -> None:
+def update_tenant_gauges(state: ShardState) -> None:
     """Set the gauges of what tenants run, may run, and wait for."""
     metrics = state.metrics
     tenant_by_name: dict[TenantId, Tenant] = {}
--- a/orchidrail/shard/long_waits.py
+++ b/orchidrail/shard/long_waits.py
@@ -12,7 +12,7 @@
 
 import structlog
 
-from orchidrail.shard.eligibility import FleetSurvey, WorkerSurvey
+from orchidrail.shard.eligibility import EligibilitySummary, FleetEligibility
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.worker_contact import silent_for
 from orchidrail.types import JobId, QueueName, Seconds, WorkerId
@@ -47,14 +47,14 @@
     ----------
     steps : list of StepState
         All that have tasks whose turn has come.
-    kept : frozenset of str
+    reserved : frozenset of str
         Workers that were kept for some step in the last pass.
     reason_by_job : dict
         What the jobs wait for.
     """
 
     steps: list[StepState]
-    kept: frozenset[WorkerId]
+    reserved: frozenset[WorkerId]
     reason_by_job: dict[JobId, WaitReason]
 
 
@@ -66,7 +66,7 @@
     tasks: int
 
 
-class LongWaits:
+class LongWaitReporter:
     """Follows the waits of a shard's steps.
 
     Parameters
@@ -91,9 +91,9 @@
             key=lambda wait: -wait.seconds,
         )
         due = [wait for wait in long if self._is_due(wait.step, now)]
-        fleet = FleetSurvey(
+        fleet = FleetEligibility(
             self._state.books_by_worker.values(),
-            work.kept,
+            work.reserved,
             now,
         )
         examined = 0
@@ -116,7 +116,7 @@
         self,
         wait: LongWait,
         work: WaitingWork,
-        survey: WorkerSurvey,
+        survey: EligibilitySummary,
     ) -> None:
         step = wait.step
         reason = work.reason_by_job.get(step.job.job_id)
@@ -170,16 +170,16 @@
     return TaskStart.GANG if step.spec.gang else TaskStart.ALONE
 
 
-def _show(survey: WorkerSurvey) -> dict[str, object]:
+def _show(survey: EligibilitySummary) -> dict[str, object]:
     return {
         'held': survey.held,
         'idle': {
             worker: obstacle.value
-            for worker, obstacle in survey.obstacle_by_idle.items()
+            for worker, obstacle in survey.reason_by_idle_worker.items()
         },
         'workers': {
             obstacle.value: count
-            for obstacle, count in survey.count_by_obstacle.most_common()
+            for obstacle, count in survey.count_by_reason.most_common()
         },
     }
 
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -14,9 +14,9 @@
 from orchidrail.journal.writer import Commit
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard.admission import (
-    Objection,
-    Objections,
-    object_to_known,
+    AdmissionControl,
+    Rejection,
+    check_known_job,
 )
 from orchidrail.shard.advice_dispatcher import AdviceDesk, AskThrough
 from orchidrail.shard.fleet import DecodeEntry, Fleet
@@ -108,7 +108,7 @@
             ports.metrics,
             ports.find_tenant,
         )
-        self._objections = Objections(self.state)
+        self._objections = AdmissionControl(self.state)
         self.runs = RunTracker(
             self.state,
             self.resign,
@@ -172,11 +172,11 @@
         queue: QueueSettings,
         spec: JobSpec,
         tenant: Tenant,
-    ) -> Objection | None:
+    ) -> Rejection | None:
         """Return why a job is not to be taken, if there is a reason."""
         known = self.state_of(job_id)
         if known is not None:
-            return object_to_known(known, tenant)
+            return check_known_job(known, tenant)
         return self._objections.find(queue, spec, tenant)
 
     async def submit(
--- a/orchidrail/shard/placement_pass.py
+++ b/orchidrail/shard/placement_pass.py
@@ -4,13 +4,13 @@
 
 from typing import NamedTuple
 
-from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.ranking import Rank, Timing, rank_overdue
+from orchidrail.shard.ranking import Rank, Timing, overdue_rank
 from orchidrail.shard.reservations import (
-    choose_earmarks,
-    crowded,
-    needs_earmarks,
+    choose_reserved_workers,
+    half_in_use,
+    needs_reservation,
 )
 from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
 from orchidrail.types import (
@@ -41,10 +41,10 @@
     good: int
     asking: int
     #: Workers that were kept from the step.
-    kept: frozenset[WorkerId]
+    reserved: frozenset[WorkerId]
     #: Whether it had waited too long, and whether also for workers that rest.
     overdue: bool
-    past_resting: bool
+    may_use_resting: bool
 
 
 class WaitingStep:
@@ -71,13 +71,13 @@
         self._earmarked: set[WorkerId] = set()
         self._earmarked_until: Seconds = 0
 
-    def has_time(self, this_pass: Pass) -> bool:
+    def has_slack(self, this_pass: Pass) -> bool:
         """Whether the step can leave room for urgent work that is to come.
 
         The estimate of a task that lasts says for how long it may be at work,
         not how long it may wait.
         """
-        if not self.timing.has_time(this_pass.wall):
+        if not self.timing.has_slack(this_pass.wall):
             return False
         return not this_pass.workers.overdue(self.step)
 
@@ -91,7 +91,7 @@
         if self.timing.beyond:
             return usual
         since = this_pass.workers.overdue_since(self.step)
-        return usual if since is None else min(usual, rank_overdue(since))
+        return usual if since is None else min(usual, overdue_rank(since))
 
     def blocked(self, this_pass: Pass) -> bool:
         """Whether it is known that the step finds no room now."""
@@ -104,7 +104,7 @@
         good = self.step.permits.good
         return not any(
             size.fits(books.free)
-            for books in this_pass.grown
+            for books in this_pass.with_more_free
             if not advised or books.worker in good
         )
 
@@ -118,7 +118,7 @@
         step = self.step
         # What keeps workers must do so in each pass.
         looked_at = (
-            this_pass.needs_earmarks(step)
+            this_pass.needs_reservation(step)
             or bool(step.failed_workers)
             or role_of(step.spec) is not TaskRole.PLAIN
             or this_pass.may_ask(step)
@@ -127,11 +127,13 @@
             self._blocked = self._standing(this_pass)
             self._blocked_until = this_pass.now + _BLOCKED_FOR
 
-    def choose_earmarks(self, missing: int, this_pass: Pass) -> set[WorkerId]:
+    def choose_reserved_workers(
+        self, missing: int, this_pass: Pass
+    ) -> set[WorkerId]:
         """Return the workers to keep for the step, chosen now and then."""
         if this_pass.now >= self._earmarked_until:
-            candidates = this_pass.workers.good_for(self.step)
-            self._earmarked = choose_earmarks(
+            candidates = this_pass.workers.permitted_for(self.step)
+            self._earmarked = choose_reserved_workers(
                 self.step,
                 missing,
                 candidates,
@@ -146,20 +148,22 @@
             len(permits.known),
             len(permits.good),
             permits.asking,
-            this_pass.workers.kept,
+            this_pass.workers.reserved,
             this_pass.workers.overdue(self.step),
-            this_pass.workers.past_resting(self.step),
+            this_pass.workers.may_use_resting(self.step),
         )
 
 
-class Rooms:
+class FreeCapacitySnapshot:
     """What was free on each worker at the end of the last pass."""
 
     def __init__(self) -> None:
         """Know of no worker."""
         self._free_by_worker: dict[WorkerId, Size] = {}
 
-    def grown(self, open_books: list[WorkerBooks]) -> list[WorkerBooks]:
+    def with_more_free(
+        self, open_books: list[WorkerBooks]
+    ) -> list[WorkerBooks]:
         """Return the workers that have more room than then, or are new."""
         before = self._free_by_worker
         return [
@@ -185,29 +189,29 @@
         now: Seconds,
         wall: Seconds,
         headroom: Headroom,
-        grown: list[WorkerBooks],
+        with_more_free: list[WorkerBooks],
         resting: list[WorkerBooks],
     ) -> None:
         """Start with all open workers, and with those that rest."""
-        self.grown = grown
+        self.with_more_free = with_more_free
         self.now = now
         self.wall = wall
-        self.workers = OpenWorkers(open_books, now, resting)
+        self.workers = CandidateWorkers(open_books, now, resting)
         self.reason_by_job: dict[JobId, WaitReason] = {}
         self._headroom = headroom
         self._left_by_need: dict[tuple[ServiceName, str], int] = {}
         self._crowded_by_service: dict[ServiceName, bool] = {}
         self._earmarks = 0
         #: Tenants of which a gang waits for most of their limit.
-        self.limits_kept: set[TenantId] = set()
+        self.tenants_saving_limit: set[TenantId] = set()
 
-    def left_for_others(self, step: StepState) -> int:
+    def available_to_others(self, step: StepState) -> int:
         """Return the millicores that are not kept for urgent work."""
         need = step.job.queue.service, step.spec.label
         left = self._left_by_need.get(need)
         if left is None:
-            of_kind = self.workers.of_kind(step)
-            left = self._headroom.left_for_others(need[0], of_kind)
+            with_label = self.workers.with_label(step)
+            left = self._headroom.available_to_others(need[0], with_label)
             self._left_by_need[need] = left
         return left
 
@@ -223,18 +227,18 @@
             if need[0] == step.job.queue.service:
                 self._left_by_need[need] -= taken
 
-    def earmark(self, waiting: WaitingStep, missing: int) -> None:
+    def reserve_workers(self, waiting: WaitingStep, missing: int) -> None:
         """Keep workers for what a step still misses, if room is scarce."""
         if missing <= 0 or self._earmarks >= _EARMARKS:
             return
         if not self._crowded(waiting.step.job.queue.service):
             return
-        if not self.needs_earmarks(waiting.step):
+        if not self.needs_reservation(waiting.step):
             return
-        kept = waiting.choose_earmarks(missing, self)
-        if kept:
+        reserved = waiting.choose_reserved_workers(missing, self)
+        if reserved:
             self._earmarks += 1
-            self.workers.keep(kept)
+            self.workers.reserve(reserved)
 
     def may_ask(self, step: StepState) -> bool:
         """Whether a step has workers to ask about and does not ask yet."""
@@ -242,15 +246,15 @@
             return False
         return bool(self.workers.unknown(step))
 
-    def needs_earmarks(self, step: StepState) -> bool:
+    def needs_reservation(self, step: StepState) -> bool:
         """Whether a step's tasks can't be fitted in one by one."""
         service = step.job.queue.service
-        copies = self.workers.most_copies(step.spec, service)
-        return needs_earmarks(step.spec, copies)
+        copies = self.workers.max_copies(step.spec, service)
+        return needs_reservation(step.spec, copies)
 
     def _crowded(self, service: ServiceName) -> bool:
         found = self._crowded_by_service.get(service)
         if found is None:
-            found = crowded(self.workers.of_service(service))
+            found = half_in_use(self.workers.of_service(service))
             self._crowded_by_service[service] = found
         return found
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -11,8 +11,12 @@
 from orchidrail.shard.due_times import DueTimes
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.long_waits import WaitingWork
-from orchidrail.shard.placement_pass import Pass, Rooms, WaitingStep
-from orchidrail.shard.ranking import Rank, time_step
+from orchidrail.shard.placement_pass import (
+    FreeCapacitySnapshot,
+    Pass,
+    WaitingStep,
+)
+from orchidrail.shard.ranking import Rank, step_timing
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import WorkerBooks
@@ -55,7 +59,7 @@
         self._headroom = Headroom()
         #: Steps with tasks whose turn has come, of all open jobs.
         self._waiting_by_job: dict[JobId, list[WaitingStep]] = {}
-        self._rooms = Rooms()
+        self._rooms = FreeCapacitySnapshot()
         self._due_times = DueTimes()
         #: Of the last pass: workers kept for some step, and what jobs wait for.
         self._kept: frozenset[WorkerId] = frozenset()
@@ -95,13 +99,13 @@
         open_books = [books for books in able if now >= books.rests_until]
         resting = [books for books in able if now < books.rests_until]
         self._headroom.note(open_books, now)
-        grown = self._rooms.grown(open_books)
+        with_more_free = self._rooms.with_more_free(open_books)
         this_pass = Pass(
             open_books,
             now,
             wall,
             self._headroom,
-            grown,
+            with_more_free,
             resting,
         )
         ranked = [
@@ -113,7 +117,7 @@
         for rank, waiting in ranked:
             self._look_at(rank, waiting, this_pass)
         self._rooms.note(open_books)
-        self._kept = this_pass.workers.kept
+        self._kept = this_pass.workers.reserved
         self._note_waits(this_pass.reason_by_job, now)
 
     def _look_at(
@@ -126,7 +130,7 @@
         step = waiting.step
         in_limit = self._within_limit(waiting, this_pass)
         allowed = in_limit
-        if waiting.has_time(this_pass):
+        if waiting.has_slack(this_pass):
             allowed = _leave_headroom(step, allowed, this_pass)
         placed = 0
         if allowed and not waiting.blocked(this_pass):
@@ -158,10 +162,10 @@
             # One that fails would else take each turn before its siblings.
             tasks = in_turn(tasks)
         in_limit: list[Task] = []
-        if tenant not in this_pass.limits_kept or step.job.urgent:
+        if tenant not in this_pass.tenants_saving_limit or step.job.urgent:
             in_limit = self._state.ledger.allow(step, tasks)
             if not in_limit and self._state.ledger.needs_most(step):
-                this_pass.limits_kept.add(tenant)
+                this_pass.tenants_saving_limit.add(tenant)
         if not in_limit:
             step.limited_at = this_pass.now
         return in_limit
@@ -204,7 +208,7 @@
 
     def _refresh(self) -> None:
         wall = self._state.wall_clock()
-        self._state.changed_jobs.update(self._due_times.take_due(wall))
+        self._state.changed_jobs.update(self._due_times.pop_due(wall))
         for job_id in self._state.changed_jobs:
             job = self._state.job_by_id.get(job_id)
             if job is None:
@@ -215,7 +219,7 @@
                 (step, step.startable()) for step in job.open_steps(wall)
             )
             self._waiting_by_job[job_id] = [
-                WaitingStep(time_step(step), step, tasks)
+                WaitingStep(step_timing(step), step, tasks)
                 for step, tasks in startable
                 if tasks
             ]
@@ -246,8 +250,8 @@
         How many of its tasks found room.
         """
         step = waiting.step
-        with_room = this_pass.workers.with_room(step)
-        chosen = self._choose(step, tasks, with_room)
+        with_free_capacity = this_pass.workers.with_free_capacity(step)
+        chosen = self._choose(step, tasks, with_free_capacity)
         missing = len(tasks) - len(chosen)
         advised = step.job.queue.advice is not None
         if chosen:
@@ -259,32 +263,32 @@
         if missing and advised and not step.permits.asking:
             unknown = this_pass.workers.unknown(step)
             self._questions.ask_for_more(rank, step, missing, unknown)
-        this_pass.earmark(waiting, missing)
+        this_pass.reserve_workers(waiting, missing)
         return len(chosen)
 
     def _choose(
         self,
         step: StepState,
         tasks: list[Task],
-        with_room: list[WorkerBooks],
+        with_free_capacity: list[WorkerBooks],
     ) -> list[Placement]:
         """Choose workers, for a gang such as have tickets if they are enough.
 
         One ticket that has run out costs all of a gang another question.
         """
-        if not with_room:
+        if not with_free_capacity:
             return []
         if step.spec.gang and step.job.queue.advice is not None:
             until = self._state.clock() + TICKET_MARGIN
             ready = [
                 books
-                for books in with_room
+                for books in with_free_capacity
                 if step.permits.fresh(books.worker, until)
             ]
             chosen = choose_workers(step, tasks, ready)
             if chosen:
                 return chosen
-        return choose_workers(step, tasks, with_room)
+        return choose_workers(step, tasks, with_free_capacity)
 
     def _launch_or_renew(
         self,
@@ -318,7 +322,7 @@
     size = step.spec.charged.millicores
     if not size:
         return tasks
-    left = this_pass.left_for_others(step)
+    left = this_pass.available_to_others(step)
     if len(tasks) * size <= left:
         return tasks
     return [] if step.spec.gang else tasks[: max(0, left // size)]
@@ -326,7 +330,7 @@
 
 def _reason(step: StepState, this_pass: Pass) -> WaitReason:
     """Return what the tasks of a step that were not placed wait for."""
-    if this_pass.workers.has_good(step):
+    if this_pass.workers.has_permitted(step):
         return WaitReason.ROOM
     if step.permits.asking:
         return WaitReason.ADVICE
--- a/orchidrail/shard/quarantine.py
+++ b/orchidrail/shard/quarantine.py
@@ -18,12 +18,12 @@
 _MOST_RESTING = 0.34
 
 
-class Standings:
+class QuarantinePolicy:
     """Blames workers on which job after job fails, within a cap.
 
     Examples
     --------
-    >>> standings = Standings()
+    >>> standings = QuarantinePolicy()
     >>> worker = WorkerId('w')
     >>> standings.note_failure(worker, JobId('a'), now=0, workers=10)
     0
--- a/orchidrail/shard/ranking.py
+++ b/orchidrail/shard/ranking.py
@@ -19,7 +19,7 @@
 _LATE_WAITS: Seconds = 15.0
 
 
-def longest_chain(spec: JobSpec, queue: QueueSettings) -> Seconds:
+def critical_path_s(spec: JobSpec, queue: QueueSettings) -> Seconds:
     """Return the estimated run time of the longest chain of steps."""
     advice = 0 if queue.advice is None else queue.advice.base
     end_by_step: list[Seconds] = []
@@ -29,12 +29,12 @@
     return max(end_by_step)
 
 
-def due_at(job: Job, round_number: int = 0) -> Seconds:
+def round_deadline(job: Job, round_number: int = 0) -> Seconds:
     """Return the wall clock by which a round of a job should have ended.
 
     It rests on the caller's estimates, which may be far off.
     """
-    chain = longest_chain(job.spec, job.queue)
+    chain = critical_path_s(job.spec, job.queue)
     began = _begins_at(job, round_number)
     return began + job.queue.stretch * chain + job.queue.target
 
@@ -65,7 +65,7 @@
     urgent: bool
     beyond: bool = False
 
-    def has_time(self, wall: Seconds) -> bool:
+    def has_slack(self, wall: Seconds) -> bool:
         """Whether the step still meets its objective if it waits a while."""
         if self.beyond:
             return True
@@ -89,7 +89,7 @@
         return (_OTHER, self.latest_start)
 
 
-def rank_overdue(since: Seconds) -> Rank:
+def overdue_rank(since: Seconds) -> Rank:
     """Return the rank of a step that has waited too long since a time.
 
     Only urgent work that can still be in time goes before it.
@@ -102,12 +102,12 @@
     return rank[0] == _OVERDUE
 
 
-def time_step(step: StepState) -> Timing:
+def step_timing(step: StepState) -> Timing:
     """Return the timing of a step, which never changes."""
     job = step.job
-    deadline = due_at(job, step.round_number)
+    deadline = round_deadline(job, step.round_number)
     return Timing(
-        deadline - longest_chain(job.spec, job.queue),
+        deadline - critical_path_s(job.spec, job.queue),
         deadline,
         _begins_at(job, step.round_number),
         job.urgent,
--- a/orchidrail/shard/reservations.py
+++ b/orchidrail/shard/reservations.py
@@ -24,7 +24,7 @@
 _HALVES = 2
 
 
-def crowded(workers: list[WorkerBooks]) -> bool:
+def half_in_use(workers: list[WorkerBooks]) -> bool:
     """Whether at least half of all that the workers have is in use.
 
     While there is more room than that, no work is to wait for a worker that is
@@ -38,20 +38,20 @@
     return cores >= 0 and accelerators >= 0
 
 
-def needs_earmarks(spec: StepSpec, most_copies: int) -> bool:
+def needs_reservation(spec: StepSpec, max_copies: int) -> bool:
     """Whether a step's tasks can't be fitted in one by one.
 
     A gang needs all of its room at once, a large task most of a worker.
 
     Parameters
     ----------
-    most_copies : int
+    max_copies : int
         Tasks of the step that the largest worker holds when it is idle.
     """
-    return spec.gang or 0 < most_copies <= _LARGE_COPIES
+    return spec.gang or 0 < max_copies <= _LARGE_COPIES
 
 
-def choose_earmarks(
+def choose_reserved_workers(
     step: StepState,
     missing: int,
     candidates: list[WorkerBooks],
@@ -64,18 +64,18 @@
     """
     size = step.spec.charged
     waits = [
-        (time_to_room(books, size, now), books)
+        (time_until_free(books, size, now), books)
         for books in candidates
         if _takes(step, books)
     ]
     waits.sort(key=lambda pair: pair[0])
-    kept: set[WorkerId] = set()
+    reserved: set[WorkerId] = set()
     for wait, books in waits:
         if missing <= 0 or wait == math.inf:
             break
-        kept.add(books.worker)
+        reserved.add(books.worker)
         missing -= _takes(step, books)
-    return set() if step.spec.gang and missing > 0 else kept
+    return set() if step.spec.gang and missing > 0 else reserved
 
 
 def _takes(step: StepState, books: WorkerBooks) -> int:
@@ -97,13 +97,13 @@
     return max(0, min(fitting, most - books.count_by_step[step.key]))
 
 
-def time_to_room(books: WorkerBooks, size: Size, now: Seconds) -> Seconds:
+def time_until_free(books: WorkerBooks, size: Size, now: Seconds) -> Seconds:
     """Return after how long a worker is expected to have room for `size`."""
     free = books.free
     if size.fits(free):
         return 0
     ends = sorted(
-        (time_left(run, now), run.size)
+        (expected_time_left(run, now), run.size)
         for run in books.run_by_key.values()
         if run.size is not None
     )
@@ -114,7 +114,7 @@
     return math.inf
 
 
-def time_left(run: PlacedRun, now: Seconds) -> Seconds:
+def expected_time_left(run: PlacedRun, now: Seconds) -> Seconds:
     """Return after how long a run is expected to end."""
     if run.task is None or run.task.step.spec.lasting:
         return math.inf
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -8,8 +8,8 @@
 import structlog
 
 from orchidrail.journal.writer import Commit
-from orchidrail.shard.quarantine import Standings
-from orchidrail.shard.ranking import due_at
+from orchidrail.shard.quarantine import QuarantinePolicy
+from orchidrail.shard.ranking import round_deadline
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.types import RunNumber, Seconds
@@ -49,7 +49,7 @@
         self._state = state
         self._stop = stop
         self._stop_job = stop_job
-        self._standings = Standings()
+        self._standings = QuarantinePolicy()
         self._touched_by_id: dict[str, Job] = {}
 
     def end(
@@ -209,7 +209,7 @@
             queue=job.queue.name,
             tenant=job.tenant.name,
             took=round(self._state.wall_clock() - job.record.accepted_at, 3),
-            expected=round(due_at(job) - job.record.accepted_at, 3),
+            expected=round(round_deadline(job) - job.record.accepted_at, 3),
             failures=job.failures(),
             waits=job.waits.describe(self._state.clock()),
             longest_run=round(job.longest_run, 3),
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -11,7 +11,7 @@
 
 from orchidrail.background_tasks import TaskSet
 from orchidrail.journal.writer import Commit
-from orchidrail.shard.colocation import filling, part
+from orchidrail.shard.colocation import best_effort_runs, best_effort_to_evict
 from orchidrail.shard.crash_attribution import CrashJudge
 from orchidrail.shard.crash_evidence import LifeEnd
 from orchidrail.shard.inherited_runs import EarlierRuns
@@ -393,7 +393,7 @@
         now = self._state.clock()
         stalled = [run for run in books.run_by_key.values() if run.stalled(now)]
         # What fills stands still while others use all that there is.
-        closes = len(stalled) > len(filling(stalled))
+        closes = len(stalled) > len(best_effort_runs(stalled))
         if closes != books.stalled:
             _log.info(
                 'worker stands still' if closes else 'worker moves on',
@@ -408,7 +408,7 @@
 
     def _look_for_late_answers(self, books: WorkerBooks) -> None:
         """Stop what fills beside tasks whose answers are late."""
-        for run in part(books, self._state.clock()):
+        for run in best_effort_to_evict(books, self._state.clock()):
             if not run.stopping:
                 _log.info(
                     'stopped for late answers',
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -8,7 +8,7 @@
 from orchidrail.journal import JournalWriter
 from orchidrail.journal.writer import Commit
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.fair_shares import Shares
+from orchidrail.shard.fair_shares import FairShares
 from orchidrail.shard.pending_advice import OpenQuestions
 from orchidrail.shard.tenant_ledger import (
     FindTenant,
@@ -86,7 +86,7 @@
     ) -> None:
         """Start without jobs and workers."""
         self.ledger = TenantLedger(find_tenant, clock)
-        self.shares = Shares(clock)
+        self.shares = FairShares(clock)
         self.metrics = metrics
         metrics.epoch.set(writer.owner.epoch)
         self.writer = writer
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from orchidrail.shard.decaying_peak import FadingPeak
+from orchidrail.shard.decaying_peak import DecayingPeak
 from orchidrail.types import Seconds, TenantId
 from orchidrail.work.model import size_at_once
 from orchidrail.work.size import Size
@@ -190,7 +190,7 @@
     """The last peak of each part of a size."""
 
     def __init__(self) -> None:
-        self._peaks = tuple(FadingPeak() for _ in Size())
+        self._peaks = tuple(DecayingPeak() for _ in Size())
 
     def note(self, size: Size, now: Seconds) -> None:
         """Take what is used at this moment."""
--- a/orchidrail/shard/tests/test_blocked_gangs.py
+++ b/orchidrail/shard/tests/test_blocked_gangs.py
@@ -6,7 +6,7 @@
 
 from structlog.testing import capture_logs
 
-from orchidrail.shard.blocked_gangs import HeldBackGangs
+from orchidrail.shard.blocked_gangs import BlockedGangs
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.model import StepSpec
@@ -30,7 +30,7 @@
 
     def told(
         self,
-        gangs: HeldBackGangs,
+        gangs: BlockedGangs,
         *steps: StepState,
     ) -> list[dict[str, Any]]:
         """Return what is told of the gangs of some jobs."""
@@ -46,7 +46,7 @@
             now = shard.state.clock()
             shard.state.began_at = now - 2 * _SILENT
             session.heard_at = now - _SILENT
-            lines = self.told(HeldBackGangs(shard.state), step)
+            lines = self.told(BlockedGangs(shard.state), step)
             told = lines.pop()
             self.assertEqual([], lines)
             self.assertEqual('gang held back', told['event'])
@@ -60,7 +60,7 @@
         async def scene(shard: Shard) -> None:
             step = self.make_gang(shard)
             shard.books.session.reachable = False
-            gangs = HeldBackGangs(shard.state)
+            gangs = BlockedGangs(shard.state)
             began = shard.state.clock()
             counts = []
             for later in (0, 1, 3, 4.5):
@@ -73,7 +73,7 @@
     def test_a_gang_whose_workers_answer_is_not_told(self) -> None:
         async def scene(shard: Shard) -> None:
             step = self.make_gang(shard)
-            self.assertEqual([], self.told(HeldBackGangs(shard.state), step))
+            self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
         self.play(scene)
 
@@ -81,7 +81,7 @@
         async def scene(shard: Shard) -> None:
             step = self.make_gang(shard, gang=False)
             shard.books.session.reachable = False
-            self.assertEqual([], self.told(HeldBackGangs(shard.state), step))
+            self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
         self.play(scene)
 
@@ -89,6 +89,6 @@
         async def scene(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1, gang=True)))
             step.job.place(step.tasks[0], RunNumber(1), WorkerId('unmet'))
-            self.assertEqual([], self.told(HeldBackGangs(shard.state), step))
+            self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
         self.play(scene)
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
 from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
 from orchidrail.shard.worker_selection import choose_workers
@@ -52,9 +52,9 @@
     return [books.worker for books in found]
 
 
-def _usable(workers: OpenWorkers, step: StepState) -> list[str]:
+def _usable(workers: CandidateWorkers, step: StepState) -> list[str]:
     """Return where the tasks of a step go now."""
-    found = workers.with_room(step)
+    found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
     return [placement.books.worker for placement in chosen]
 
@@ -67,21 +67,23 @@
             fill(books, 2 * cores)
 
     def test_workers_with_too_little_room_are_passed_over(self) -> None:
-        workers = OpenWorkers(self.books)
+        workers = CandidateWorkers(self.books)
         step = make_step(StepSpec(1, Size(4000)))
-        self.assertEqual(['c', 'b', 'a'], _names(workers.with_room(step)))
+        self.assertEqual(
+            ['c', 'b', 'a'], _names(workers.with_free_capacity(step))
+        )
 
     def test_room_that_went_in_the_same_pass_counts(self) -> None:
-        workers = OpenWorkers(self.books)
+        workers = CandidateWorkers(self.books)
         fill(self.books[0], 8)
         step = make_step(StepSpec(1, Size(4000)))
-        self.assertEqual(['c', 'b'], _names(workers.with_room(step)))
+        self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
 
     def test_workers_that_are_kept_are_passed_over(self) -> None:
-        workers = OpenWorkers(self.books)
-        workers.keep({WorkerId('b')})
+        workers = CandidateWorkers(self.books)
+        workers.reserve({WorkerId('b')})
         step = make_step(StepSpec(1, Size(4000)))
-        self.assertEqual(['c', 'a'], _names(workers.with_room(step)))
+        self.assertEqual(['c', 'a'], _names(workers.with_free_capacity(step)))
 
     def test_a_lasting_task_that_is_to_be_back_takes_kept_workers(self) -> None:
         """Seen on a drawn day: away for 9.5 s with room on kept workers."""
@@ -90,28 +92,28 @@
         task.run, task.waits_since = RunNumber(1), 10
         every = {books.worker for books in self.books}
         for now, expected in ((11, []), (13, ['c', 'b', 'a'])):
-            workers = OpenWorkers(self.books, now)
-            workers.keep(every)
-            self.assertEqual(expected, _names(workers.with_room(step)))
+            workers = CandidateWorkers(self.books, now)
+            workers.reserve(every)
+            self.assertEqual(expected, _names(workers.with_free_capacity(step)))
 
     def test_only_permitted_workers_are_found_where_advice_is_needed(
         self,
     ) -> None:
-        workers = OpenWorkers(self.books)
+        workers = CandidateWorkers(self.books)
         step = advised(StepSpec(1, Size(4000)), 'a', 'd')
-        self.assertEqual(['a'], _names(workers.with_room(step)))
+        self.assertEqual(['a'], _names(workers.with_free_capacity(step)))
         self.assertEqual(['b', 'c'], _names(workers.unknown(step)))
-        self.assertEqual(['a', 'd'], _names(workers.good_for(step)))
+        self.assertEqual(['a', 'd'], _names(workers.permitted_for(step)))
 
     def test_a_worker_that_failed_a_step_is_taken_only_if_no_other_is(
         self,
     ) -> None:
         step = make_step(StepSpec(1, Size(4000)))
         step.failed_workers.note_failure(WorkerId('a'), 0)
-        workers = OpenWorkers(self.books)
-        self.assertEqual(['c', 'b'], _names(workers.with_room(step)))
-        alone = OpenWorkers(self.books[:1])
-        self.assertEqual(['a'], _names(alone.with_room(step)))
+        workers = CandidateWorkers(self.books)
+        self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
+        alone = CandidateWorkers(self.books[:1])
+        self.assertEqual(['a'], _names(alone.with_free_capacity(step)))
 
     def test_a_worker_that_failed_a_step_is_taken_if_no_other_has_room(
         self,
@@ -124,7 +126,7 @@
         the step as it may. A worker is avoided for less than work may stand
         still, a question for its ticket included, also after several failures.
         """
-        workers = OpenWorkers(self.books, _MAY_STAND_STILL - _QUESTION)
+        workers = CandidateWorkers(self.books, _MAY_STAND_STILL - _QUESTION)
         full = advised(StepSpec(1, Size(4000)), 'a', 'd')
         for _ in range(3):
             full.failed_workers.note_failure(WorkerId('a'), 0)
@@ -136,13 +138,13 @@
         self.assertEqual(['a'], _usable(workers, held))
 
     def test_the_label_that_a_step_needs_is_looked_at(self) -> None:
-        workers = OpenWorkers(self.books)
+        workers = CandidateWorkers(self.books)
         step = make_step(StepSpec(1, Size(1000), label='kind-b'))
-        self.assertEqual([], workers.with_room(step))
-        self.assertFalse(workers.has_good(step))
+        self.assertEqual([], workers.with_free_capacity(step))
+        self.assertFalse(workers.has_permitted(step))
 
     def test_the_largest_worker_tells_how_many_copies_fit(self) -> None:
         service = make_job(StepSpec(1)).queue.service
-        workers = OpenWorkers([*self.books, make_books('e', cores=32)])
-        copies = workers.most_copies(StepSpec(1, Size(10_000)), service)
+        workers = CandidateWorkers([*self.books, make_books('e', cores=32)])
+        copies = workers.max_copies(StepSpec(1, Size(10_000)), service)
         self.assertEqual(3, copies)
--- a/orchidrail/shard/tests/test_colocation.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -6,7 +6,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.tests.test_candidate_workers import advised
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
@@ -49,25 +49,27 @@
 
 
 class SharingTest(TestCase):
-    def with_room(
+    def with_free_capacity(
         self,
         spec: StepSpec,
         *every: WorkerBooks,
         waited: Seconds = _LONG,
     ) -> list[str]:
         """Return where a task goes that has waited for some time."""
-        workers = OpenWorkers(list(every), _NOW)
-        found = workers.with_room(_waiting(spec, waited))
+        workers = CandidateWorkers(list(every), _NOW)
+        found = workers.with_free_capacity(_waiting(spec, waited))
         return [books.worker for books in found]
 
     def test_both_kinds_are_kept_apart_at_first(self) -> None:
         for spec, other in ((_SERVING, _FILLING), (_FILLING, _SERVING)):
             books = _holding(other)
-            self.assertEqual([], self.with_room(spec, books, waited=0))
-            self.assertEqual(['w'], self.with_room(spec, books))
+            self.assertEqual([], self.with_free_capacity(spec, books, waited=0))
+            self.assertEqual(['w'], self.with_free_capacity(spec, books))
 
     def test_they_stay_apart_while_another_worker_has_room(self) -> None:
-        found = self.with_room(_FILLING, _holding(_SERVING), make_books('v'))
+        found = self.with_free_capacity(
+            _FILLING, _holding(_SERVING), make_books('v')
+        )
         self.assertEqual(['v'], found)
 
     def test_a_gang_shares_if_the_other_workers_do_not_hold_it(self) -> None:
@@ -79,28 +81,30 @@
             most_per_worker=1,
         )
         serving = _holding(_SERVING)
-        found = self.with_room(gang, serving, make_books('v'))
+        found = self.with_free_capacity(gang, serving, make_books('v'))
         self.assertEqual(['v', 'w'], sorted(found))
-        both = self.with_room(gang, serving, make_books('v'), make_books('u'))
+        both = self.with_free_capacity(
+            gang, serving, make_books('v'), make_books('u')
+        )
         self.assertEqual(['u', 'v'], sorted(both))
 
     def test_what_may_not_be_stopped_is_not_put_beside(self) -> None:
         self.assertEqual(
             [],
-            self.with_room(_FILLING_MAY_MISS, _holding(_SERVING)),
+            self.with_free_capacity(_FILLING_MAY_MISS, _holding(_SERVING)),
         )
         self.assertEqual(
             [],
-            self.with_room(_SERVING, _holding(_FILLING_MAY_MISS)),
+            self.with_free_capacity(_SERVING, _holding(_FILLING_MAY_MISS)),
         )
 
     def test_nothing_is_put_beside_where_answers_were_late(self) -> None:
         books = _holding(_SERVING)
         books.parted_until = _NOW + 1
-        self.assertEqual([], self.with_room(_FILLING, books))
+        self.assertEqual([], self.with_free_capacity(_FILLING, books))
 
     def test_a_step_that_waits_too_long_asks_about_such_workers(self) -> None:
-        workers = OpenWorkers([_holding(_SERVING)], _NOW)
+        workers = CandidateWorkers([_holding(_SERVING)], _NOW)
         step = advised(_FILLING)
         self.assertEqual([], workers.unknown(step))
         step.tasks[0].waits_since = _NOW - _LONG
--- a/orchidrail/shard/tests/test_due_times.py
+++ b/orchidrail/shard/tests/test_due_times.py
@@ -40,7 +40,7 @@
     def test_each_round_falls_due_once(self) -> None:
         taken = []
         for wall in (90, 100, 101, 110, 115, 120, 121, 130):
-            taken.append(len(self.due_times.take_due(wall)))
+            taken.append(len(self.due_times.pop_due(wall)))
             self.due_times.note(self.job, wall)
         self.assertEqual([0, 1, 0, 1, 0, 1, 0, 0], taken)
 
@@ -53,10 +53,10 @@
     def test_a_job_that_has_ended_is_not_named(self) -> None:
         self.due_times.note(self.job, 95)
         self.due_times.forget(self.job.job_id)
-        self.assertEqual([], self.due_times.take_due(100))
+        self.assertEqual([], self.due_times.pop_due(100))
 
     def test_rounds_of_a_clock_that_went_back_fall_due_again(self) -> None:
         self.due_times.note(self.job, 95)
-        self.assertEqual(['j'], self.due_times.take_due(104))
+        self.assertEqual(['j'], self.due_times.pop_due(104))
         self.due_times.note(self.job, 98)
-        self.assertEqual(['j'], self.due_times.take_due(100))
+        self.assertEqual(['j'], self.due_times.pop_due(100))
--- a/orchidrail/shard/tests/test_eligibility.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -4,7 +4,11 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.eligibility import FleetSurvey, Obstacle, WorkerSurvey
+from orchidrail.shard.eligibility import (
+    EligibilitySummary,
+    FleetEligibility,
+    IneligibleReason,
+)
 from orchidrail.shard.tests.test_candidate_workers import advised, fill
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
 from orchidrail.types import WorkerId
@@ -25,16 +29,16 @@
     def survey(
         self,
         step: StepState,
-        kept: frozenset[WorkerId] = _NOBODY,
-    ) -> WorkerSurvey:
-        return FleetSurvey(self.books, kept, _NOW).of(step)
+        reserved: frozenset[WorkerId] = _NOBODY,
+    ) -> EligibilitySummary:
+        return FleetEligibility(self.books, reserved, _NOW).of(step)
 
     def counts(
         self,
         step: StepState,
-        kept: frozenset[WorkerId] = _NOBODY,
-    ) -> dict[Obstacle, int]:
-        return dict(self.survey(step, kept).count_by_obstacle)
+        reserved: frozenset[WorkerId] = _NOBODY,
+    ) -> dict[IneligibleReason, int]:
+        return dict(self.survey(step, reserved).count_by_reason)
 
     def open_all(self) -> None:
         """Let all workers be met."""
@@ -48,17 +52,17 @@
         self.books[1].count_by_step[step.key] = 1
         step.failed_workers.note_failure(WorkerId('c'), _NOW)
         expected = {
-            Obstacle.ROOM: 1,
-            Obstacle.COPIES: 1,
-            Obstacle.FAILED: 1,
-            Obstacle.NOT_ASKED: 1,
+            IneligibleReason.ROOM: 1,
+            IneligibleReason.COPIES: 1,
+            IneligibleReason.FAILED: 1,
+            IneligibleReason.NOT_ASKED: 1,
         }
         self.assertEqual(expected, self.counts(step))
 
     def test_what_holds_for_good_is_told_first(self) -> None:
         self.open_all()
         step = make_step(StepSpec(1, Size(99_000)))
-        self.assertEqual({Obstacle.UNSUITED: 4}, self.counts(step))
+        self.assertEqual({IneligibleReason.UNSUITED: 4}, self.counts(step))
 
     def test_a_closed_and_a_kept_worker_are_told(self) -> None:
         self.open_all()
@@ -67,10 +71,10 @@
         step = make_step(StepSpec(1, _TASK))
         found = self.counts(step, frozenset((WorkerId('b'),)))
         expected = {
-            Obstacle.RESTS: 1,
-            Obstacle.CLOSED: 1,
-            Obstacle.KEPT: 1,
-            Obstacle.NONE: 1,
+            IneligibleReason.RESTS: 1,
+            IneligibleReason.CLOSED: 1,
+            IneligibleReason.KEPT: 1,
+            IneligibleReason.NONE: 1,
         }
         self.assertEqual(expected, found)
 
@@ -78,7 +82,7 @@
         self.open_all()
         step = advised(StepSpec(1, _TASK), 'a', 'b', 'c', 'd')
         step.permits.expire(WorkerId('a'))
-        expected = {Obstacle.TICKET: 1, Obstacle.NONE: 3}
+        expected = {IneligibleReason.TICKET: 1, IneligibleReason.NONE: 3}
         self.assertEqual(expected, self.counts(step))
 
     def test_room_that_is_held_for_another_step_is_told_as_held(self) -> None:
@@ -86,7 +90,11 @@
         step = make_step(StepSpec(1, _TASK))
         self.books[0].hold('other', Size(8000))
         fill(self.books[1], 8)
-        expected = {Obstacle.HELD: 1, Obstacle.ROOM: 1, Obstacle.NONE: 2}
+        expected = {
+            IneligibleReason.HELD: 1,
+            IneligibleReason.ROOM: 1,
+            IneligibleReason.NONE: 2,
+        }
         self.assertEqual(expected, self.counts(step))
         self.assertEqual(1, self.survey(step).held)
 
@@ -95,7 +103,7 @@
         step = advised(StepSpec(1, _TASK), 'a')
         step.permits.expire(WorkerId('a'))
         self.books[0].hold(step.key, Size(8000))
-        self.assertEqual(1, self.counts(step)[Obstacle.TICKET])
+        self.assertEqual(1, self.counts(step)[IneligibleReason.TICKET])
 
     def test_permitted_workers_with_room_are_named_by_name(self) -> None:
         self.open_all()
@@ -106,20 +114,20 @@
         fill(by_name[WorkerId('b')], 6)
         step.failed_workers.note_failure(WorkerId('d'), _NOW)
         self.assertEqual(
-            [('a', Obstacle.CLOSED), ('d', Obstacle.FAILED)],
-            list(self.survey(step).obstacle_by_idle.items()),
+            [('a', IneligibleReason.CLOSED), ('d', IneligibleReason.FAILED)],
+            list(self.survey(step).reason_by_idle_worker.items()),
         )
 
     def test_a_closed_worker_that_is_full_is_not_idle(self) -> None:
         step = make_step(StepSpec(1, _TASK))
         for books in self.books[1:]:
             fill(books, 6)
-        idle = self.survey(step).obstacle_by_idle
-        self.assertEqual({'a': Obstacle.CLOSED}, idle)
+        idle = self.survey(step).reason_by_idle_worker
+        self.assertEqual({'a': IneligibleReason.CLOSED}, idle)
 
     def test_three_workers_with_room_are_named_at_the_most(self) -> None:
         self.open_all()
         step = make_step(StepSpec(1, _TASK))
         self.assertEqual(
-            ['a', 'b', 'c'], list(self.survey(step).obstacle_by_idle)
+            ['a', 'b', 'c'], list(self.survey(step).reason_by_idle_worker)
         )
--- a/orchidrail/shard/tests/test_headroom.py
+++ b/orchidrail/shard/tests/test_headroom.py
@@ -33,7 +33,7 @@
 
     def left(self, now: float) -> int:
         self.headroom.note([self.books], now)
-        return self.headroom.left_for_others(self.service, [self.books])
+        return self.headroom.available_to_others(self.service, [self.books])
 
     def test_without_urgent_work_all_is_left_to_others(self) -> None:
         _run(self.books, 10_000, priority=1)
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -9,7 +9,7 @@
 from structlog.testing import capture_logs
 
 from orchidrail.shard import long_waits
-from orchidrail.shard.long_waits import LongWaits, WaitingWork
+from orchidrail.shard.long_waits import LongWaitReporter, WaitingWork
 from orchidrail.shard.tests.test_candidate_workers import advised, fill
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import RunNumber, Seconds, WorkerId
@@ -29,7 +29,9 @@
         task.waits_since = now
     shard.state.clock = lambda: now + _WAITED
     with capture_logs() as lines:
-        LongWaits(shard.state).report(WaitingWork([step], frozenset(), {}))
+        LongWaitReporter(shard.state).report(
+            WaitingWork([step], frozenset(), {})
+        )
     told = [line for line in lines if line['event'] == 'tasks wait']
     return dict(told[0])
 
@@ -121,7 +123,7 @@
             ]
             for number, step in enumerate(steps):
                 step.tasks[0].waits_since = time.monotonic() - 10 + number
-            waits = LongWaits(shard.state)
+            waits = LongWaitReporter(shard.state)
             told = []
             with mock.patch.object(long_waits, '_MOST_EXAMINED', 1):
                 for _ in range(3):
--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -9,7 +9,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.candidate_workers import OpenWorkers, may_use
+from orchidrail.shard.candidate_workers import CandidateWorkers, may_place_on
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.placement_pass import Pass, WaitingStep
 from orchidrail.shard.ranking import Timing, is_overdue
@@ -48,14 +48,14 @@
     def test_a_step_that_waits_while_half_is_free_is_overdue_in_time(
         self,
     ) -> None:
-        workers = OpenWorkers(self.books, _MAY_STAND_STILL - 2 * _QUESTION)
+        workers = CandidateWorkers(self.books, _MAY_STAND_STILL - 2 * _QUESTION)
         self.assertEqual(0, workers.overdue_since(_waiting(0)))
-        early = OpenWorkers(self.books, 0.5)
+        early = CandidateWorkers(self.books, 0.5)
         self.assertIsNone(early.overdue_since(_waiting(0)))
 
     def test_a_step_is_not_overdue_while_half_is_in_use(self) -> None:
         fill(self.books[0], _CORES)
-        workers = OpenWorkers(self.books, 10)
+        workers = CandidateWorkers(self.books, 10)
         self.assertIsNone(workers.overdue_since(_waiting(0)))
 
     def test_a_step_that_waits_for_its_tenants_limit_is_not_overdue(
@@ -63,7 +63,7 @@
     ) -> None:
         step = _waiting(0)
         step.limited_at = 9.5
-        workers = OpenWorkers(self.books, 10)
+        workers = CandidateWorkers(self.books, 10)
         self.assertIsNone(workers.overdue_since(step))
 
     def test_the_longest_wait_goes_before_an_earlier_deadline(self) -> None:
@@ -110,8 +110,8 @@
             books.rest(0, 100)
         found_at = []
         for now in (1.5, _MAY_STAND_STILL - _QUESTION):
-            workers = OpenWorkers([], now, resting=self.books)
-            found = workers.with_room(_waiting(0))
+            workers = CandidateWorkers([], now, resting=self.books)
+            found = workers.with_free_capacity(_waiting(0))
             found_at.append([books.worker for books in found])
         self.assertEqual([[], ['a', 'b']], found_at)
 
@@ -122,15 +122,15 @@
         books = self.books[0]
         books.session.reachable = True
         books.rest(0, 100)
-        self.assertFalse(may_use(_waiting(0), books, 1.5))
-        self.assertTrue(may_use(_waiting(0), books, 2.5))
+        self.assertFalse(may_place_on(_waiting(0), books, 1.5))
+        self.assertTrue(may_place_on(_waiting(0), books, 2.5))
         books.listed = False
-        self.assertFalse(may_use(_waiting(0), books, 2.5))
+        self.assertFalse(may_place_on(_waiting(0), books, 2.5))
 
     def test_another_worker_with_room_goes_before_one_that_rests(self) -> None:
         resting, other = self.books
-        workers = OpenWorkers([other], 10, resting=[resting])
-        found = workers.with_room(_waiting(0))
+        workers = CandidateWorkers([other], 10, resting=[resting])
+        found = workers.with_free_capacity(_waiting(0))
         self.assertEqual([WorkerId('b')], [books.worker for books in found])
 
     def test_a_step_that_was_at_work_is_overdue_on_a_full_service(
@@ -139,5 +139,5 @@
         fill(self.books[0], _CORES)
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         step.tasks[0].run, step.tasks[0].waits_since = RunNumber(1), 0
-        workers = OpenWorkers(self.books, _MAY_STAND_STILL)
+        workers = CandidateWorkers(self.books, _MAY_STAND_STILL)
         self.assertEqual(0, workers.overdue_since(step))
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -13,7 +13,7 @@
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard.advice_dispatcher import AdviceDesk
-from orchidrail.shard.long_waits import LongWaits, WaitingWork
+from orchidrail.shard.long_waits import LongWaitReporter, WaitingWork
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
@@ -334,7 +334,7 @@
             job = _make_job('a' * 16, spec, 1, advice=False)
             shard.add(job)
             await asyncio.sleep(_SOON)
-            waits = LongWaits(shard.state)
+            waits = LongWaitReporter(shard.state)
             step = job.steps(0)[0]
             reason_by_job = {job.job_id: WaitReason.ROOM}
             work = WaitingWork([step], frozenset(), reason_by_job)
@@ -367,7 +367,7 @@
             job = _make_job('a' * 16, spec, 1, advice=False)
             shard.add(job)
             await asyncio.sleep(_SOON)
-            waits = LongWaits(shard.state)
+            waits = LongWaitReporter(shard.state)
             shard.state.clock = lambda: time.monotonic() + 3
             waits.report(WaitingWork(job.steps(0), frozenset(), {}))
             shard.state.job_by_id.pop(job.job_id)
--- a/orchidrail/shard/tests/test_quarantine.py
+++ b/orchidrail/shard/tests/test_quarantine.py
@@ -4,7 +4,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.quarantine import Standings
+from orchidrail.shard.quarantine import QuarantinePolicy
 from orchidrail.types import JobId, Seconds, WorkerId
 
 _WORKER = WorkerId('w')
@@ -16,7 +16,7 @@
 class StandingsTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.standings = Standings()
+        self.standings = QuarantinePolicy()
 
     def fail(  # type: ignore[override]
         self,
--- a/orchidrail/shard/tests/test_reservations.py
+++ b/orchidrail/shard/tests/test_reservations.py
@@ -6,12 +6,12 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.reservations import (
-    choose_earmarks,
-    needs_earmarks,
-    time_left,
-    time_to_room,
+    choose_reserved_workers,
+    expected_time_left,
+    needs_reservation,
+    time_until_free,
 )
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
 from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
@@ -33,12 +33,12 @@
 
 class EarmarksTest(TestCase):
     def test_only_gangs_and_large_tasks_need_them(self) -> None:
-        workers = OpenWorkers([make_books('a')])
+        workers = CandidateWorkers([make_books('a')])
         small, large = StepSpec(1, Size(1000)), StepSpec(1, Size(2000))
         gang = StepSpec(2, Size(1000), gang=True)
         service = make_books('a').entry.service
         needs = [
-            needs_earmarks(spec, workers.most_copies(spec, service))
+            needs_reservation(spec, workers.max_copies(spec, service))
             for spec in (small, large, gang)
         ]
         self.assertEqual([False, True, True], needs)
@@ -48,8 +48,8 @@
         _place(long, StepSpec(1, Size(3000), estimate=9))
         _place(short, StepSpec(1, Size(3000), estimate=2))
         step = make_step(StepSpec(1, Size(4000)))
-        kept = choose_earmarks(step, 1, [long, short], now=11)
-        self.assertEqual({'short'}, kept)
+        reserved = choose_reserved_workers(step, 1, [long, short], now=11)
+        self.assertEqual({'short'}, reserved)
 
     def test_a_worker_that_holds_the_most_copies_is_not_kept(self) -> None:
         """Its room is of no use to the step, for as long as those run."""
@@ -61,29 +61,35 @@
         _place(other, StepSpec(1, Size(3000), estimate=2))
         # What runs there is of another job.
         other.count_by_step.clear()
-        kept = choose_earmarks(step, 1, [held, other], now=11)
-        self.assertEqual({'other'}, kept)
-        self.assertEqual(set(), choose_earmarks(step, 2, [held], now=11))
+        reserved = choose_reserved_workers(step, 1, [held, other], now=11)
+        self.assertEqual({'other'}, reserved)
+        self.assertEqual(
+            set(), choose_reserved_workers(step, 2, [held], now=11)
+        )
 
     def test_a_gang_that_never_fits_keeps_no_worker(self) -> None:
         only = make_books('only')
         _place(only, StepSpec(1, Size(3000), estimate=9))
         gang = make_step(StepSpec(2, Size(4000), gang=True))
-        self.assertEqual(set(), choose_earmarks(gang, 2, [only], now=11))
-        both = choose_earmarks(gang, 2, [only, make_books('other')], now=11)
+        self.assertEqual(
+            set(), choose_reserved_workers(gang, 2, [only], now=11)
+        )
+        both = choose_reserved_workers(
+            gang, 2, [only, make_books('other')], now=11
+        )
         self.assertEqual({'only', 'other'}, both)
 
     def test_room_comes_when_enough_has_ended(self) -> None:
         books = make_books('a')
         _place(books, StepSpec(1, Size(2000), estimate=2))
         _place(books, StepSpec(1, Size(2000), estimate=5))
-        self.assertEqual(1, time_to_room(books, Size(2000), now=11))
-        self.assertEqual(4, time_to_room(books, Size(4000), now=11))
-        self.assertEqual(math.inf, time_to_room(books, Size(5000), now=11))
+        self.assertEqual(1, time_until_free(books, Size(2000), now=11))
+        self.assertEqual(4, time_until_free(books, Size(4000), now=11))
+        self.assertEqual(math.inf, time_until_free(books, Size(5000), now=11))
 
     def test_progress_tells_more_than_an_estimate(self) -> None:
         run = _place(make_books('a'), StepSpec(1, estimate=2), share=50)
-        self.assertEqual(4, time_left(run, now=14))
+        self.assertEqual(4, expected_time_left(run, now=14))
 
     def test_a_gang_that_never_fits_beside_what_lasts_keeps_no_worker(
         self,
@@ -97,11 +103,13 @@
         for books in both:
             _place(books, StepSpec(1, Size(1500), lasting=True))
         gang = make_step(StepSpec(3, Size(2000), gang=True))
-        self.assertEqual(set(), choose_earmarks(gang, 3, list(both), now=11))
+        self.assertEqual(
+            set(), choose_reserved_workers(gang, 3, list(both), now=11)
+        )
         pair = make_step(StepSpec(2, Size(2000), gang=True))
-        kept = choose_earmarks(pair, 2, list(both), now=11)
-        self.assertEqual({'a', 'b'}, kept)
+        reserved = choose_reserved_workers(pair, 2, list(both), now=11)
+        self.assertEqual({'a', 'b'}, reserved)
 
     def test_a_lasting_run_never_ends(self) -> None:
         run = _place(make_books('a'), StepSpec(1, lasting=True))
-        self.assertEqual(math.inf, time_left(run, now=14))
+        self.assertEqual(math.inf, expected_time_left(run, now=14))
--- a/orchidrail/shard/tests/test_whole_wait.py
+++ b/orchidrail/shard/tests/test_whole_wait.py
@@ -8,7 +8,7 @@
 
 from testtools import TestCase
 
-from orchidrail.shard.candidate_workers import OpenWorkers
+from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.placement_pass import Pass, WaitingStep
 from orchidrail.shard.ranking import Timing
@@ -37,9 +37,9 @@
     return step
 
 
-def _usable(workers: OpenWorkers, step: StepState) -> list[str]:
+def _usable(workers: CandidateWorkers, step: StepState) -> list[str]:
     """Return where the tasks of a step go now."""
-    found = workers.with_room(step)
+    found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
     return [placement.books.worker for placement in chosen]
 
@@ -66,7 +66,7 @@
         """
         first, second = self.books[:2]
         second.rest(0, 100)
-        workers = OpenWorkers([first], _LONG_WAIT, resting=[second])
+        workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
         gang = _waiting(StepSpec(2, _WHOLE, gang=True))
         self.assertEqual(['a', 'b'], sorted(_usable(workers, gang)))
 
@@ -76,7 +76,7 @@
         """Guards against an open worker that may hold no more of a step."""
         first, second = self.books[:2]
         second.rest(0, 100)
-        workers = OpenWorkers([first], _LONG_WAIT, resting=[second])
+        workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
         step = _waiting(StepSpec(2, Size(1000), most_per_worker=1))
         task = step.tasks[0]
         step.job.place(task, RunNumber(1), WorkerId('a'))
@@ -90,7 +90,7 @@
         """
         for books in self.books[:5]:
             books.hold(f'other-{books.worker}', _WHOLE)
-        workers = OpenWorkers(self.books, _LONG_WAIT)
+        workers = CandidateWorkers(self.books, _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
     def test_idle_workers_that_are_closed_are_not_in_use(self) -> None:
@@ -100,7 +100,7 @@
         """
         for books in self.books[4:6]:
             fill(books, _CORES)
-        workers = OpenWorkers(self.books[4:], _LONG_WAIT)
+        workers = CandidateWorkers(self.books[4:], _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
     def test_a_step_that_may_go_to_resting_workers_is_looked_at(self) -> None:
@@ -149,5 +149,5 @@
         step.failed_workers.note_failure(WorkerId('a'), _LONG_WAIT - 0.5)
         other = self.books[1]
         fill(other, _CORES)
-        workers = OpenWorkers([other], _LONG_WAIT, resting=[books])
+        workers = CandidateWorkers([other], _LONG_WAIT, resting=[books])
         self.assertEqual([], _usable(workers, step))
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -8,7 +8,7 @@
 from testtools import TestCase
 
 from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
-from orchidrail.shard.worker_selection import choose_workers, suits
+from orchidrail.shard.worker_selection import choose_workers, matches_worker
 from orchidrail.shard.worker_speed import Pace
 from orchidrail.types import Epoch, RunNumber, TaskKey
 from orchidrail.work.model import StepSpec
@@ -85,8 +85,12 @@
         )
 
     def test_a_label_is_needed(self) -> None:
-        self.assertTrue(suits(StepSpec(1, label='kind-a'), make_books('a')))
-        self.assertFalse(suits(StepSpec(1, label='kind-b'), make_books('a')))
+        self.assertTrue(
+            matches_worker(StepSpec(1, label='kind-a'), make_books('a'))
+        )
+        self.assertFalse(
+            matches_worker(StepSpec(1, label='kind-b'), make_books('a'))
+        )
 
     def test_what_fills_is_kept_from_what_serves(self) -> None:
         books = make_books('a')
--- a/orchidrail/shard/worker_selection.py
+++ b/orchidrail/shard/worker_selection.py
@@ -21,7 +21,7 @@
     books: WorkerBooks
 
 
-def suits(spec: StepSpec, books: WorkerBooks) -> bool:
+def matches_worker(spec: StepSpec, books: WorkerBooks) -> bool:
     """Whether the worker is of the kind and size that the step needs."""
     if spec.label and spec.label not in books.entry.labels:
         return False
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -16,14 +16,14 @@
 
 import fire
 
-from orchidrail.shard.eligibility import Obstacle
+from orchidrail.shard.eligibility import IneligibleReason
 
 #: Part of a late job's time that a cause must have taken to be named.
 _LEAST_SHARE = 0.1
 #: Times the expected end after which a job is of no use any more.
 _USELESS_AFTER = 3
 _RANK_BY_OBSTACLE = {
-    obstacle.value: rank for rank, obstacle in enumerate(Obstacle)
+    obstacle.value: rank for rank, obstacle in enumerate(IneligibleReason)
 }
 
 
