--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -21,7 +21,7 @@
 from orchidrail.shard.advice_dispatcher import AdviceDesk
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import Epoch, JobId, RunNumber, Seconds, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.model import AdviceCost, JobSpec, StepSpec
@@ -53,16 +53,16 @@
     """Takes room as the tracker of runs does, and orders nothing."""
 
     def __init__(self, state: ShardState) -> None:
-        self.placed: list[tuple[WorkerBooks, RunKey]] = []
+        self.placed: list[tuple[TrackedWorker, RunKey]] = []
         self._state = state
 
     def launch(self, step: StepState, chosen: list[Any]) -> None:
-        for task, books in chosen:
+        for task, tracked in chosen:
             key = RunKey(task.key, RunNumber(1))
             run = PlacedRun(key, step.spec.charged, task, 0, confirmed_at=0)
-            books.charge(run, step.key)
+            tracked.allocate(run, step.key)
             task.phase = TaskPhase.PLACED
-            self.placed.append((books, key))
+            self.placed.append((tracked, key))
         self._state.changed_jobs.add(step.job.job_id)
 
 
@@ -92,7 +92,7 @@
             cast('Any', None), time.monotonic, lambda: True,
         )  # fmt: skip
         session.reachable = True
-        self.state.books_by_worker[session.worker] = WorkerBooks(session)
+        self.state.tracked_by_worker[session.worker] = TrackedWorker(session)
 
     def add_job(self) -> None:
         """Add a step about all of whose workers the service was asked."""
@@ -109,7 +109,7 @@
         record = JobRecord(queue, JobSpec('', (step,)), time.time())
         job = Job(JobId(f'{self.jobs:016x}'), record)
         waiting = next(job.open_steps(0))
-        every = list(self.state.books_by_worker)
+        every = list(self.state.tracked_by_worker)
         good = self.random.sample(every, max(1, int(_GOOD_SHARE * len(every))))
         tickets = {WorkerId(worker): 't' for worker in good}
         waiting.permits.learn(every, tickets, time.monotonic() + 1e6)
@@ -120,8 +120,8 @@
         """End some runs, the oldest of them somewhere at random."""
         for _ in range(min(_ENDS, len(self.runs.placed))):
             index = self.random.randrange(len(self.runs.placed))
-            books, key = self.runs.placed.pop(index)
-            run = books.release(key)
+            tracked, key = self.runs.placed.pop(index)
+            run = tracked.release(key)
             assert run is not None
             assert run.task is not None
             run.task.phase = TaskPhase.DONE
--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -37,7 +37,7 @@
     PlatformLog,
 )
 from orchidrail.platform.worker_calls import PlatformAdvice, PlatformWorkers
-from orchidrail.shard.lease_timing import lease_for
+from orchidrail.shard.lease_timing import lease_duration
 from orchidrail.shard.owner import OwnerPorts
 from orchidrail.store import Topic
 from orchidrail.store.relay import RawAnswer, RawCall, RelayedCaller
@@ -230,7 +230,7 @@
             elapsed,
             time.time,
             self.table.store_away,
-            lease_for(self.settings.bounds.longest_lease),
+            lease_duration(self.settings.bounds.longest_lease),
             self.settings.bounds.stop_takes,
             self.settings.bounds.status_kept,
             self.metrics,
--- a/orchidrail/properties/test_tenant_ledger.py
+++ b/orchidrail/properties/test_tenant_ledger.py
@@ -18,9 +18,9 @@
     rule,
 )
 
-from orchidrail.shard.tenant_ledger import TenantLedger, holding_of
+from orchidrail.shard.tenant_ledger import TenantLedger, quota_usage_of
 from orchidrail.shard.tests.test_worker_selection import make_books
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.shard.unresolved_runs import UnresolvedRuns
 from orchidrail.types import JobId, RunNumber, TenantId, WorkerId
 from orchidrail.work.job import Job
@@ -69,14 +69,14 @@
         """Take over with nothing but what the journal tells."""
         self.ledger = TenantLedger(self.tenant_by_name.get)
         self.unresolved = UnresolvedRuns(self.ledger)
-        self.books: list[WorkerBooks] = []
+        self.tracked: list[TrackedWorker] = []
         for number in range(_WORKERS):
-            books = make_books(f'w-{number}', 64)
-            books._ledger = self.ledger
-            self.books.append(books)
+            tracked = make_books(f'w-{number}', 64)
+            tracked._ledger = self.ledger
+            self.tracked.append(tracked)
 
     def worker(self, number: int) -> WorkerId:
-        return self.books[number].worker
+        return self.tracked[number].worker
 
     @initialize()
     def meet(self) -> None:
@@ -108,14 +108,16 @@
         job = Job(JobId(f'{len(self.jobs):016x}'), record)
         self.jobs.append(job)
         state = job.steps(0)[0]
-        allowed = self.ledger.allow(state, state.tasks)
+        allowed = self.ledger.within_limit(state, state.tasks)
         limit = tenant.maximum.millicores
         before = self.runs.used(name).millicores
         for task in allowed:
-            books = self.books[number]
+            tracked = self.tracked[number]
             key = RunKey(task.key, RunNumber(1))
-            books.charge(PlacedRun(key, state.spec.charged, task, 0), state.key)
-            job.place(task, RunNumber(1), books.worker)
+            tracked.allocate(
+                PlacedRun(key, state.spec.charged, task, 0), state.key
+            )
+            job.place(task, RunNumber(1), tracked.worker)
             self.runs.where_by_key[key] = task, number
         after = self.runs.used(name).millicores
         assert not limit or after <= limit or not allowed
@@ -134,7 +136,7 @@
         task, number = self.runs.where_by_key[key]
         if number not in self.met:
             return
-        self.books[number].release(key)
+        self.tracked[number].release(key)
         self.runs.where_by_key.pop(key)
         task.phase = TaskPhase.DONE
 
@@ -143,10 +145,10 @@
         """Give up a worker, heard of or not."""
         for key, (task, where) in list(self.runs.where_by_key.items()):
             if where == number:
-                self.books[number].release(key)
+                self.tracked[number].release(key)
                 self.runs.where_by_key.pop(key)
                 task.phase = TaskPhase.WAITING
-        self.unresolved.settle(self.worker(number))
+        self.unresolved.pop_runs(self.worker(number))
         self.met.add(number)
 
     @rule(name=st.sampled_from(_NAMES), maximum=_limits)
@@ -164,8 +166,8 @@
         self.met.clear()
         for key, (task, number) in self.runs.where_by_key.items():
             if left:
-                holding = holding_of(task)
-                self.unresolved.add_left(self.worker(number), key, holding)
+                holding = quota_usage_of(task)
+                self.unresolved.add_lingering(self.worker(number), key, holding)
             else:
                 self.unresolved.add(self.worker(number), [(task, key.run)])
 
@@ -175,11 +177,11 @@
         if number in self.met:
             return
         worker = self.worker(number)
-        books = self.books[number]
+        tracked = self.tracked[number]
         for key, (task, where) in self.runs.where_by_key.items():
             if where != number:
                 continue
-            left = self.unresolved.left_on(worker, key)
+            left = self.unresolved.lingering_on(worker, key)
             run = PlacedRun(
                 key,
                 task.step.spec.charged,
@@ -187,8 +189,8 @@
                 0,
                 left=left,
             )
-            books.charge(run, task.step.key)
-        self.unresolved.settle(worker)
+            tracked.allocate(run, task.step.key)
+        self.unresolved.pop_runs(worker)
         self.met.add(number)
 
     @invariant()
--- a/orchidrail/shard/admission.py
+++ b/orchidrail/shard/admission.py
@@ -118,8 +118,10 @@
         """Whether enough of a service's room is free."""
         free, whole = 0, 0
         now = self._state.clock()
-        for books in self._state.books_by_worker.values():
-            if books.entry.service == queue.service and books.open(now):
-                free += books.free.millicores
-                whole += books.entry.capacity.millicores
+        for tracked in self._state.tracked_by_worker.values():
+            if tracked.entry.service == queue.service and tracked.accepts_work(
+                now
+            ):
+                free += tracked.free.millicores
+                whole += tracked.entry.capacity.millicores
         return free > whole * _SPARED
--- a/orchidrail/shard/advice_requester.py
+++ b/orchidrail/shard/advice_requester.py
@@ -17,7 +17,7 @@
 from orchidrail.shard.ranking import Rank, is_overdue
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.size import Size
@@ -56,8 +56,8 @@
 
     rank: Rank
     step: StepState
-    about: list[WorkerBooks]
-    held: list[WorkerBooks]
+    about: list[TrackedWorker]
+    held: list[TrackedWorker]
     #: Whether it is about workers of which nothing is known.
     first: bool
 
@@ -99,12 +99,12 @@
         rank: Rank,
         step: StepState,
         missing: int,
-        unknown: list[WorkerBooks],
+        unknown: list[TrackedWorker],
     ) -> None:
         """Ask about workers of which nothing is known, the emptiest first."""
         if not unknown:
             return
-        unknown.sort(key=lambda books: -books.free.millicores)
+        unknown.sort(key=lambda tracked: -tracked.free.millicores)
         copies = max(1, step.spec.charged.times_in(unknown[0].free))
         choice = _GANG_CHOICE if step.spec.gang and not step.job.urgent else 1
         useful = choice * self._approvals.needed(
@@ -141,13 +141,13 @@
             one for each that is kept.
         """
         kept_by_worker: dict[WorkerId, Size] = defaultdict(Size)
-        books_by_worker: dict[WorkerId, WorkerBooks] = {}
-        for _, books in chosen:
-            kept_by_worker[books.worker] += step.spec.charged
-            books_by_worker[books.worker] = books
+        tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
+        for _, tracked in chosen:
+            kept_by_worker[tracked.worker] += step.spec.charged
+            tracked_by_worker[tracked.worker] = tracked
         for worker, size in kept_by_worker.items():
-            books_by_worker[worker].hold(step.key, size)
-        chosen_books = list(books_by_worker.values())
+            tracked_by_worker[worker].hold(step.key, size)
+        chosen_books = list(tracked_by_worker.values())
         wanted = len(chosen_books) if step.spec.gang else missing
         most = max(0, _ASKED_AT_ONCE - len(chosen_books))
         spare = 0 if step.job.urgent else min(wanted, most)
@@ -159,17 +159,17 @@
     def _stale(
         self,
         step: StepState,
-        chosen: list[WorkerBooks],
-    ) -> list[WorkerBooks]:
+        chosen: list[TrackedWorker],
+    ) -> list[TrackedWorker]:
         """Return the other permitted workers whose tickets have run out."""
         until = self._state.clock() + TICKET_MARGIN
-        others = step.permits.good - {books.worker for books in chosen}
-        every = self._state.books_by_worker
+        others = step.permits.good - {tracked.worker for tracked in chosen}
+        every = self._state.tracked_by_worker
         return [
             every[worker]
             for worker in sorted(others)
             if worker in every
-            and every[worker].able
+            and every[worker].available
             and not step.permits.fresh(worker, until)
         ]
 
@@ -187,7 +187,7 @@
 
     async def _ask_about(self, inquiry: _Inquiry) -> None:
         step = inquiry.step
-        workers = [books.worker for books in inquiry.about]
+        workers = [tracked.worker for tracked in inquiry.about]
         cost = step.job.queue.advice
         assert cost is not None
         duration = cost.duration(len(workers))
@@ -226,26 +226,26 @@
         until = self._state.clock() + advice.valid
         step.permits.learn(workers, advice.ticket_by_worker, until)
 
-    def _place_held(self, step: StepState, kept: list[WorkerBooks]) -> None:
+    def _place_held(self, step: StepState, kept: list[TrackedWorker]) -> None:
         """Place on room that was kept, before a pass gives it to others.
 
         A wide gang would otherwise lose part of it each time, and its other
         tickets would run out meanwhile. It waits for the last of its answers.
         """
-        held = [books for books in kept if books.unhold(step.key)]
+        held = [tracked for tracked in kept if tracked.release_hold(step.key)]
         now = self._state.clock()
         until = now + TICKET_MARGIN
         usable = [
-            books
-            for books in held
-            if may_place_on(step, books, now)
-            and step.permits.fresh(books.worker, until)
-            and books.worker in step.permits.good
+            tracked
+            for tracked in held
+            if may_place_on(step, tracked, now)
+            and step.permits.fresh(tracked.worker, until)
+            and tracked.worker in step.permits.good
             # Keeping room does not keep a task of another role away.
-            and may_colocate(step, books, now)
+            and may_colocate(step, tracked, now)
         ]
         # The room was kept for the task whose turn it was.
-        tasks = self._state.ledger.allow(step, in_turn(step.startable()))
+        tasks = self._state.ledger.within_limit(step, in_turn(step.startable()))
         if not usable or not tasks:
             return
         if step.job.ended:
@@ -261,12 +261,12 @@
 
 
 def _split(
-    about: list[WorkerBooks],
+    about: list[TrackedWorker],
     most_parts: int,
-) -> list[list[WorkerBooks]]:
+) -> list[list[TrackedWorker]]:
     """Deal workers out to several calls that are worth their while."""
     return _deal(about, min(math.ceil(len(about) / _LEAST_PART), most_parts))
 
 
-def _deal(about: list[WorkerBooks], parts: int) -> list[list[WorkerBooks]]:
+def _deal(about: list[TrackedWorker], parts: int) -> list[list[TrackedWorker]]:
     return [about[first::parts] for first in range(parts)]
--- a/orchidrail/shard/blocked_gangs.py
+++ b/orchidrail/shard/blocked_gangs.py
@@ -13,7 +13,7 @@
 import structlog
 
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.worker_contact import silent_for
+from orchidrail.shard.worker_contact import longest_silence
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.job import Job
 from orchidrail.work.records import TaskPhase
@@ -86,7 +86,7 @@
             queue=step.job.queue.name,
             waiting=_count(step, TaskPhase.WAITING),
             placed=_count(step, TaskPhase.PLACED),
-            unheard=round(silent_for(self._state, step), 3),
+            unheard=round(longest_silence(self._state, step), 3),
             lost=lost[:_MOST_NAMED],
         )
 
--- a/orchidrail/shard/candidate_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 
 from orchidrail.shard.colocation import may_share_worker, separation_expired
-from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
+from orchidrail.shard.tracked_worker import TaskRole, TrackedWorker, role_of
 from orchidrail.shard.worker_selection import matches_worker
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
@@ -36,7 +36,7 @@
 class _ByRoom(NamedTuple):
     """A service's workers, those with least free processor time first."""
 
-    books: list[WorkerBooks]
+    tracked: list[TrackedWorker]
     free_millicores: list[int]
 
 
@@ -45,36 +45,36 @@
 
     Parameters
     ----------
-    open_books : list of WorkerBooks
+    open_books : list of TrackedWorker
         Workers that may be given new work.
     now : float
         On the owner's steady clock, seconds.
-    resting : list of WorkerBooks
+    resting : list of TrackedWorker
         Workers that rest, for steps that have waited too long for others.
     """
 
     def __init__(
         self,
-        open_books: list[WorkerBooks],
+        open_books: list[TrackedWorker],
         now: Seconds = 0,
-        resting: list[WorkerBooks] | None = None,
+        resting: list[TrackedWorker] | None = None,
     ) -> None:
         """Sort the workers by what is free now."""
         self._now = now
         self._resting = resting or []
-        self._by_worker = {books.worker: books for books in open_books}
+        self._by_worker = {tracked.worker: tracked for tracked in open_books}
         self._kept: frozenset[WorkerId] = frozenset()
         self._suitable_by_need: dict[
             tuple[ServiceName, str],
-            list[WorkerBooks],
+            list[TrackedWorker],
         ] = {}
         self._capacities_by_service: dict[ServiceName, set[Size]] = {}
         self._half_free_by_service: dict[ServiceName, bool] = {}
-        books_by_service: dict[ServiceName, list[WorkerBooks]] = defaultdict(
+        books_by_service: dict[ServiceName, list[TrackedWorker]] = defaultdict(
             list
         )
-        for books in open_books:
-            books_by_service[books.entry.service].append(books)
+        for tracked in open_books:
+            books_by_service[tracked.entry.service].append(tracked)
         self._by_service = {
             service: _sort_by_room(of_service)
             for service, of_service in books_by_service.items()
@@ -122,32 +122,32 @@
         since = self.overdue_since(step)
         return since is not None and self._now - since > _OFF_RESTING_FOR
 
-    def of_service(self, service: ServiceName) -> list[WorkerBooks]:
+    def of_service(self, service: ServiceName) -> list[TrackedWorker]:
         """Return all open workers of a service, also those that are kept."""
         by_room = self._by_service.get(service)
-        return by_room.books if by_room else []
+        return by_room.tracked if by_room else []
 
-    def with_label(self, step: StepState) -> list[WorkerBooks]:
+    def with_label(self, step: StepState) -> list[TrackedWorker]:
         """Return the open workers with the label that a step needs."""
         need = step.job.queue.service, step.spec.label
         found = self._suitable_by_need.get(need)
         if found is None:
             found = [
-                books
-                for books in self.of_service(need[0])
-                if not need[1] or need[1] in books.entry.labels
+                tracked
+                for tracked in self.of_service(need[0])
+                if not need[1] or need[1] in tracked.entry.labels
             ]
             self._suitable_by_need[need] = found
         return found
 
-    def unknown(self, step: StepState) -> list[WorkerBooks]:
+    def unknown(self, step: StepState) -> list[TrackedWorker]:
         """Return the workers of which the service has not been asked yet."""
         unknown = self._by_worker.keys() - step.permits.known
         if not unknown:
             return []
         return self._suitable(step, [self._by_worker[one] for one in unknown])
 
-    def with_free_capacity(self, step: StepState) -> list[WorkerBooks]:
+    def with_free_capacity(self, step: StepState) -> list[TrackedWorker]:
         """Return the workers that may run a task of a step now.
 
         Workers on which its tasks failed of late are left out while another
@@ -164,7 +164,9 @@
             found = found + self._resting_with_room(step)
         if not found or not step.failed_workers or not self._has_other(step):
             return found
-        return [books for books in found if not self._avoided(step, books)]
+        return [
+            tracked for tracked in found if not self._avoided(step, tracked)
+        ]
 
     def max_copies(self, spec: StepSpec, service: ServiceName) -> int:
         """Return how many of a step's tasks the largest worker holds."""
@@ -182,7 +184,7 @@
             return bool(self.with_label(step))
         return not self._by_worker.keys().isdisjoint(step.permits.good)
 
-    def permitted_for(self, step: StepState) -> list[WorkerBooks]:
+    def permitted_for(self, step: StepState) -> list[TrackedWorker]:
         """Return the usable workers known to be good, with room or without."""
         with_label = self.with_label(step)
         if step.job.queue.advice is not None:
@@ -192,94 +194,98 @@
     def _suitable(
         self,
         step: StepState,
-        found: list[WorkerBooks],
-    ) -> list[WorkerBooks]:
+        found: list[TrackedWorker],
+    ) -> list[TrackedWorker]:
         """Leave out those that are kept, avoided, or that can't run the step.
 
         The workers come by name, so that the same cell gives the same choice.
         """
         service = step.job.queue.service
         suitable = [
-            books
-            for books in found
-            if books.entry.service == service
-            and books.worker not in self._kept
-            and not self._avoided(step, books)
-            and matches_worker(step.spec, books)
+            tracked
+            for tracked in found
+            if tracked.entry.service == service
+            and tracked.worker not in self._kept
+            and not self._avoided(step, tracked)
+            and matches_worker(step.spec, tracked)
         ]
         if role_of(step.spec) is not TaskRole.PLAIN:
             suitable = self._beside(step, suitable)
         return sorted(suitable, key=attrgetter('worker'))
 
-    def _with_room(self, step: StepState) -> list[WorkerBooks]:
+    def _with_room(self, step: StepState) -> list[TrackedWorker]:
         """Return the workers with room, beside tasks that the step bears."""
         size: Size = step.spec.charged
         reserved = frozenset() if self.overdue(step) else self._kept
         found = [
-            books
-            for books in self._with_processor_time(step, size.millicores)
-            if size.fits(books.free) and books.worker not in reserved
+            tracked
+            for tracked in self._with_processor_time(step, size.millicores)
+            if size.fits(tracked.free) and tracked.worker not in reserved
         ]
         if role_of(step.spec) is TaskRole.PLAIN:
             return found
-        apart = [books for books in found if books.bears(step.spec)]
+        apart = [
+            tracked for tracked in found if tracked.is_compatible(step.spec)
+        ]
         return apart if _hold(step, apart) else self._beside(step, found)
 
-    def _resting_with_room(self, step: StepState) -> list[WorkerBooks]:
+    def _resting_with_room(self, step: StepState) -> list[TrackedWorker]:
         """Return the resting workers with room for what has waited too long."""
         advised = step.job.queue.advice is not None
         found = [
-            books
-            for books in self._resting
-            if books.entry.service == step.job.queue.service
-            and (not advised or books.worker in step.permits.good)
-            and step.spec.charged.fits(books.free)
-            and matches_worker(step.spec, books)
+            tracked
+            for tracked in self._resting
+            if tracked.entry.service == step.job.queue.service
+            and (not advised or tracked.worker in step.permits.good)
+            and step.spec.charged.fits(tracked.free)
+            and matches_worker(step.spec, tracked)
         ]
         return self._beside(step, found)
 
     def _beside(
         self,
         step: StepState,
-        found: list[WorkerBooks],
-    ) -> list[WorkerBooks]:
+        found: list[TrackedWorker],
+    ) -> list[TrackedWorker]:
         """Leave out those beside whose tasks a step's are not put."""
         if separation_expired(step, self._now):
-            return [books for books in found if self._bears(step, books)]
-        return [books for books in found if books.bears(step.spec)]
+            return [tracked for tracked in found if self._bears(step, tracked)]
+        return [
+            tracked for tracked in found if tracked.is_compatible(step.spec)
+        ]
 
-    def _bears(self, step: StepState, books: WorkerBooks) -> bool:
+    def _bears(self, step: StepState, tracked: TrackedWorker) -> bool:
         """Whether a step that waits too long is put beside what runs there."""
-        return books.bears(step.spec) or may_share_worker(
-            step, books, self._now
+        return tracked.is_compatible(step.spec) or may_share_worker(
+            step, tracked, self._now
         )
 
     def _with_processor_time(
         self,
         step: StepState,
         millicores: int,
-    ) -> list[WorkerBooks]:
+    ) -> list[TrackedWorker]:
         """Return the workers with enough of it, by the shorter way."""
         by_room = self._by_service.get(step.job.queue.service)
         if by_room is None:
             return []
         first = bisect.bisect_left(by_room.free_millicores, millicores)
-        found = by_room.books[first:]
+        found = by_room.tracked[first:]
         if step.job.queue.advice is not None:
             found = self._good_of(step, found)
         label = step.spec.label
         if not label:
             return found
-        return [books for books in found if label in books.entry.labels]
+        return [tracked for tracked in found if label in tracked.entry.labels]
 
     def _good_of(
         self,
         step: StepState,
-        found: list[WorkerBooks],
-    ) -> list[WorkerBooks]:
+        found: list[TrackedWorker],
+    ) -> list[TrackedWorker]:
         good = step.permits.good
         if len(found) <= len(good):
-            return [books for books in found if books.worker in good]
+            return [tracked for tracked in found if tracked.worker in good]
         service = step.job.queue.service
         by_worker = self._by_worker
         return [
@@ -292,7 +298,9 @@
         """Return the different sizes of a service's workers."""
         found = self._capacities_by_service.get(service)
         if found is None:
-            found = {books.entry.capacity for books in self.of_service(service)}
+            found = {
+                tracked.entry.capacity for tracked in self.of_service(service)
+            }
             self._capacities_by_service[service] = found
         return found
 
@@ -301,9 +309,9 @@
         found = self._half_free_by_service.get(service)
         if found is None:
             resting = [
-                books
-                for books in self._resting
-                if books.entry.service == service
+                tracked
+                for tracked in self._resting
+                if tracked.entry.service == service
             ]
             found = _is_half_free(self.of_service(service) + resting)
             self._half_free_by_service[service] = found
@@ -314,49 +322,49 @@
         with_label = self.with_label(step)
         if step.job.queue.advice is not None:
             with_label = self._good_of(step, with_label)
-        return not all(self._avoided(step, books) for books in with_label)
+        return not all(self._avoided(step, tracked) for tracked in with_label)
 
-    def _avoided(self, step: StepState, books: WorkerBooks) -> bool:
-        return step.failed_workers.avoids(books.worker, self._now)
+    def _avoided(self, step: StepState, tracked: TrackedWorker) -> bool:
+        return step.failed_workers.avoids(tracked.worker, self._now)
 
 
-def may_place_on(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_place_on(step: StepState, tracked: TrackedWorker, now: Seconds) -> bool:
     """Whether tasks of a step may go to a worker, as far as its rest goes."""
-    if books.open(now):
+    if tracked.accepts_work(now):
         return True
     since = step.waits_since()
     wait_expired = since is not None and now - since > _OFF_RESTING_FOR
-    return wait_expired and books.able
+    return wait_expired and tracked.available
 
 
-def _sort_by_room(of_service: list[WorkerBooks]) -> _ByRoom:
-    ordered = sorted(of_service, key=lambda books: books.free.millicores)
-    return _ByRoom(ordered, [books.free.millicores for books in ordered])
+def _sort_by_room(of_service: list[TrackedWorker]) -> _ByRoom:
+    ordered = sorted(of_service, key=lambda tracked: tracked.free.millicores)
+    return _ByRoom(ordered, [tracked.free.millicores for tracked in ordered])
 
 
-def _is_half_free(of_service: list[WorkerBooks]) -> bool:
+def _is_half_free(of_service: list[TrackedWorker]) -> bool:
     """Whether less than half of each kind of some workers' room is in use.
 
     Kind by kind, since that of a cell near its limit is told by the first.
     """
     for kind in map(attrgetter, Size._fields):
-        whole = sum(kind(books.entry.capacity) for books in of_service)
-        free = sum(kind(books.free) for books in of_service)
+        whole = sum(kind(tracked.entry.capacity) for tracked in of_service)
+        free = sum(kind(tracked.free) for tracked in of_service)
         # What is held for questions is used by nobody yet.
         free += sum(
-            kind(books.held) for books in of_service if books.held_by_step
+            kind(tracked.held) for tracked in of_service if tracked.held_by_step
         )
         if whole and _HALVES * free <= whole:
             return False
     return True
 
 
-def _hold(step: StepState, found: list[WorkerBooks]) -> bool:
+def _hold(step: StepState, found: list[TrackedWorker]) -> bool:
     """Whether workers take what must start together of a step."""
     spec = step.spec
     copies = sum(
-        books.copies(step.key, spec.charged, spec.most_per_worker)
-        for books in found
+        tracked.slots_for(step.key, spec.charged, spec.most_per_worker)
+        for tracked in found
     )
     at_once = spec.count if spec.gang else 1
     return copies >= at_once
--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -15,7 +15,7 @@
 from orchidrail.shard.tracked_worker import (
     PlacedRun,
     TaskRole,
-    WorkerBooks,
+    TrackedWorker,
     role_of,
 )
 from orchidrail.types import Seconds
@@ -39,26 +39,30 @@
     return since is not None and now - since >= _KEPT_APART_FOR
 
 
-def may_colocate(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_colocate(step: StepState, tracked: TrackedWorker, now: Seconds) -> bool:
     """Whether a step's tasks may be put beside what runs on a worker now."""
-    if books.bears(step.spec):
+    if tracked.is_compatible(step.spec):
         return True
-    return separation_expired(step, now) and may_share_worker(step, books, now)
+    return separation_expired(step, now) and may_share_worker(
+        step, tracked, now
+    )
 
 
-def may_share_worker(step: StepState, books: WorkerBooks, now: Seconds) -> bool:
+def may_share_worker(
+    step: StepState, tracked: TrackedWorker, now: Seconds
+) -> bool:
     """Whether a step that waits too long may be put beside the other kind.
 
     What fills must be free to be stopped again, and must not have been stopped
     there of late.
     """
-    if now < books.parted_until:
+    if now < tracked.best_effort_barred_until:
         return False
-    if role_of(step.spec) is TaskRole.FILLS:
+    if role_of(step.spec) is TaskRole.BEST_EFFORT:
         return not step.spec.may_miss
     return all(
         run.task is None or not run.task.step.spec.may_miss
-        for run in best_effort_runs(books.run_by_key.values())
+        for run in best_effort_runs(tracked.run_by_key.values())
     )
 
 
@@ -68,16 +72,18 @@
         run
         for run in runs
         if run.task is not None
-        and role_of(run.task.step.spec) is TaskRole.FILLS
+        and role_of(run.task.step.spec) is TaskRole.BEST_EFFORT
     ]
 
 
-def best_effort_to_evict(books: WorkerBooks, now: Seconds) -> list[PlacedRun]:
+def best_effort_to_evict(
+    tracked: TrackedWorker, now: Seconds
+) -> list[PlacedRun]:
     """Return the runs to be stopped where answers have been late for long."""
-    runs = books.run_by_key.values()
+    runs = tracked.run_by_key.values()
     if not any(now - run.late_since >= _LATE_FOR for run in runs):
         return []
     found = best_effort_runs(runs)
     if found:
-        books.parted_until = now + _PARTED_FOR
+        tracked.best_effort_barred_until = now + _PARTED_FOR
     return found
--- a/orchidrail/shard/crash_attribution.py
+++ b/orchidrail/shard/crash_attribution.py
@@ -8,13 +8,13 @@
 
 from orchidrail.shard.crash_evidence import (
     CrashWatch,
-    LifeEnd,
+    IncarnationEnd,
     LostRun,
     lost_runs,
     suspicion_of,
 )
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import Address, RunNumber, Seconds, WorkerId
 from orchidrail.work.records import FailureCause
 from orchidrail.work.step import Task
@@ -48,7 +48,7 @@
         self,
         worker: WorkerId,
         unresolved: list[tuple[Task, RunNumber]],
-        end: LifeEnd,
+        end: IncarnationEnd,
     ) -> None:
         """Take that a worker's life is over, with all that ran there.
 
@@ -59,13 +59,13 @@
             known.
         """
         self._state.metrics.worker_ends.labels(end.value).inc()
-        books = self._state.books_by_worker.get(worker)
+        tracked = self._state.tracked_by_worker.get(worker)
         lost = [LostRun(*one, True, False) for one in unresolved]
-        if books is not None:
-            for run in books.run_by_key.values():
-                _log_lost(books, run, end)
-            lost += lost_runs(books)
-        if end is not LifeEnd.LEFT:
+        if tracked is not None:
+            for run in tracked.run_by_key.values():
+                _log_lost(tracked, run, end)
+            lost += lost_runs(tracked)
+        if end is not IncarnationEnd.LEFT:
             self._suspect(worker, lost, end)
 
     def take_back(self, worker: WorkerId) -> None:
@@ -74,31 +74,31 @@
             task.step.job.take_back_crash(task, added)
             _log.info('suspicion taken back', task=task.key, worker=worker)
 
-    def note_outlived(self, books: WorkerBooks, run: PlacedRun) -> None:
+    def note_outlived(self, tracked: TrackedWorker, run: PlacedRun) -> None:
         """End a trial that is past; clear a task that has worked for long."""
-        if run.key in books.trials and books.proven(run):
-            books.trials.discard(run.key)
+        if run.key in tracked.isolated_runs and tracked.proven(run):
+            tracked.isolated_runs.discard(run.key)
             self._state.wanted.set()
         task = run.task
-        cleared = books.outlived(run) > _CLEARED_AFTER
+        cleared = tracked.outlived(run) > _CLEARED_AFTER
         if task is not None and task.suspicion and cleared:
             task.suspicion = 0
-            _log.info('task cleared', task=task.key, worker=books.worker)
+            _log.info('task cleared', task=task.key, worker=tracked.worker)
 
     def _suspect(
         self,
         worker: WorkerId,
         suspects: list[LostRun],
-        end: LifeEnd,
+        end: IncarnationEnd,
     ) -> None:
         now = self._state.clock()
-        every = self._state.books_by_worker
+        every = self._state.tracked_by_worker
         calm = self._watch.calm(every.values(), now)
-        books = every.get(worker)
-        self._watch.note_end(books, now)
-        if books is not None:
-            calm = calm and now - books.crashed_at > _STEADY_AFTER
-            self._note_address(books.entry.address, now)
+        tracked = every.get(worker)
+        self._watch.note_end(tracked, now)
+        if tracked is not None:
+            calm = calm and now - tracked.crashed_at > _STEADY_AFTER
+            self._note_address(tracked.entry.address, now)
         doubted: list[tuple[Task, int]] = []
         for lost in suspects:
             job = lost.task.step.job
@@ -106,7 +106,9 @@
             if not job.ended and job.note_crash(lost.task, lost.run, added):
                 doubted.append((lost.task, added))
                 self._log_suspected(worker, lost, added, calm)
-        self._keep_doubted(worker, [] if end is LifeEnd.CRASHED else doubted)
+        self._keep_doubted(
+            worker, [] if end is IncarnationEnd.CRASHED else doubted
+        )
 
     def last_crash_at(self, address: Address) -> Seconds:
         """Return when a worker at an address crashed last."""
@@ -115,9 +117,9 @@
     def _note_address(self, address: Address, now: Seconds) -> None:
         """Remember a crash for the lives that follow at the same address."""
         self._crashed_at_by_address[address] = now
-        for books in self._state.books_by_worker.values():
-            if books.entry.address == address:
-                books.crashed_at = now
+        for tracked in self._state.tracked_by_worker.values():
+            if tracked.entry.address == address:
+                tracked.crashed_at = now
 
     def _keep_doubted(
         self,
@@ -163,9 +165,9 @@
 
 
 def _log_lost(
-    books: WorkerBooks,
+    tracked: TrackedWorker,
     run: PlacedRun,
-    end: LifeEnd,
+    end: IncarnationEnd,
 ) -> None:
     """Tell what is known of a run whose worker is gone.
 
@@ -176,10 +178,10 @@
         'run lost',
         task=run.key.task,
         run=run.key.run,
-        worker=books.worker,
+        worker=tracked.worker,
         reason=end.value,
         ordered=run.ordered,
         answered=run.confirmed_at < math.inf,
-        outlived=round(books.outlived(run), 3),
-        others=len(books.run_by_key) - 1,
+        outlived=round(tracked.outlived(run), 3),
+        others=len(tracked.run_by_key) - 1,
     )
--- a/orchidrail/shard/crash_evidence.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -15,7 +15,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber, Seconds
 from orchidrail.work.step import Task
 
@@ -27,7 +27,7 @@
 _CALM_SHARE = 0.15
 
 
-class LifeEnd(Enum):
+class IncarnationEnd(Enum):
     """How a worker's life ended, as its owner saw it."""
 
     #: Another life answers at its address, and it had not left by itself.
@@ -35,9 +35,9 @@
     #: It had said, or shown, that it leaves.
     LEFT = 'left'
     #: All leases have run out unheard: it may be cut off, and alive.
-    LEASE_ENDED = 'lease ended'
+    LEASE_EXPIRED = 'lease ended'
     #: A worker of an earlier owner that this one has never reached.
-    NEVER_MET = 'never met'
+    NEVER_REACHED = 'never met'
 
 
 class LostRun(NamedTuple):
@@ -82,19 +82,19 @@
 }
 
 
-def lost_runs(books: WorkerBooks) -> list[LostRun]:
+def lost_runs(tracked: TrackedWorker) -> list[LostRun]:
     """Return the runs of a worker that may have to do with its end.
 
     Also those that are being stopped: the crash may have broken off the starts
     of a gang's other members, for which its run there was to be stopped.
     """
-    runs = [run for run in books.run_by_key.values() if run.ordered]
-    young = [run for run in runs if not books.proven(run)]
+    runs = [run for run in tracked.run_by_key.values() if run.ordered]
+    young = [run for run in runs if not tracked.proven(run)]
     return [
         LostRun(
             run.task,
             run.key.run,
-            not books.proven(run),
+            not tracked.proven(run),
             run.trial and _tells(run, young),
         )
         for run in runs
@@ -129,27 +129,27 @@
         """Start with no end seen."""
         self._ends: deque[Seconds] = deque()
 
-    def note_end(self, books: WorkerBooks | None, now: Seconds) -> None:
+    def note_end(self, tracked: TrackedWorker | None, now: Seconds) -> None:
         """Take a life's end that nobody announced."""
-        if books is None or not books.runs_suspect:
+        if tracked is None or not tracked.runs_suspect:
             self._ends.append(now)
 
-    def calm(self, every: Iterable[WorkerBooks], now: Seconds) -> bool:
+    def calm(self, every: Iterable[TrackedWorker], now: Seconds) -> bool:
         """Whether few workers have ended lately, or are silent now."""
         while self._ends and now - self._ends[0] > _LATELY:
             self._ends.popleft()
         workers = list(every)
         silent = sum(
-            books.session.fallen_silent and not books.runs_suspect
-            for books in workers
+            tracked.session.fallen_silent and not tracked.runs_suspect
+            for tracked in workers
         )
         return len(self._ends) + silent < _CALM_SHARE * len(workers)
 
 
-def suspicion_of(lost: LostRun, end: LifeEnd, calm: bool) -> int:
+def suspicion_of(lost: LostRun, end: IncarnationEnd, calm: bool) -> int:
     """Return what a worker's end adds to the suspicion of a task."""
-    if end is LifeEnd.LEFT:
+    if end is IncarnationEnd.LEFT:
         return 0
     # Behind a cut many runs go at once, and the workers may be alive.
-    calm = calm and end is LifeEnd.CRASHED
+    calm = calm and end is IncarnationEnd.CRASHED
     return _SUSPICION_BY_SIGHT[_Sight(lost.young, lost.trial, calm)]
--- a/orchidrail/shard/eligibility.py
+++ b/orchidrail/shard/eligibility.py
@@ -15,7 +15,7 @@
 from operator import itemgetter
 from typing import NamedTuple
 
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -86,52 +86,56 @@
     now: Seconds
 
 
-def _is_held(sight: _Sight, books: WorkerBooks) -> bool:
-    if not books.held_by_step or not _has_no_room(sight, books):
+def _is_held(sight: _Sight, tracked: TrackedWorker) -> bool:
+    if not tracked.held_by_step or not _has_no_room(sight, tracked):
         return False
-    return sight.step.spec.charged.fits(books.free + books.held)
+    return sight.step.spec.charged.fits(tracked.free + tracked.held)
 
 
-def _has_no_room(sight: _Sight, books: WorkerBooks) -> bool:
-    own = books.held_by_step.get(sight.step.key)
-    free = books.free if own is None else books.free + own
+def _has_no_room(sight: _Sight, tracked: TrackedWorker) -> bool:
+    own = tracked.held_by_step.get(sight.step.key)
+    free = tracked.free if own is None else tracked.free + own
     return not sight.step.spec.charged.fits(free)
 
 
-def _has_most_copies(sight: _Sight, books: WorkerBooks) -> bool:
+def _has_most_copies(sight: _Sight, tracked: TrackedWorker) -> bool:
     most = sight.step.spec.most_per_worker
-    return bool(most) and books.count_by_step[sight.step.key] >= most
+    return bool(most) and tracked.count_by_step[sight.step.key] >= most
 
 
-def _has_no_ticket(sight: _Sight, books: WorkerBooks) -> bool:
+def _has_no_ticket(sight: _Sight, tracked: TrackedWorker) -> bool:
     step = sight.step
     advised = step.job.queue.advice is not None
-    return advised and not step.permits.fresh(books.worker, sight.now)
+    return advised and not step.permits.fresh(tracked.worker, sight.now)
 
 
 #: What keeps a worker from all steps.
 _TEST_BY_CLOSING: dict[
-    IneligibleReason, Callable[[WorkerBooks, Seconds], bool]
+    IneligibleReason, Callable[[TrackedWorker, Seconds], bool]
 ] = {
-    IneligibleReason.RESTS: lambda books, now: now < books.rests_until,
-    IneligibleReason.TRIAL: lambda books, now: bool(books.trials),
-    IneligibleReason.CLOSED: lambda books, now: not books.open(now),
+    IneligibleReason.RESTS: lambda tracked, now: (
+        now < tracked.quarantined_until
+    ),
+    IneligibleReason.TRIAL: lambda tracked, now: bool(tracked.isolated_runs),
+    IneligibleReason.CLOSED: lambda tracked, now: not tracked.accepts_work(now),
 }
 #: What keeps an open and permitted worker from a step. In order: what holds for
 #: good first, what a question would end last.
 _TEST_BY_OBSTACLE: dict[
-    IneligibleReason, Callable[[_Sight, WorkerBooks], bool]
+    IneligibleReason, Callable[[_Sight, TrackedWorker], bool]
 ] = {
     IneligibleReason.HELD: _is_held,
     IneligibleReason.ROOM: _has_no_room,
     IneligibleReason.COPIES: _has_most_copies,
-    IneligibleReason.ROLE: lambda sight, books: (
-        not books.bears(sight.step.spec)
+    IneligibleReason.ROLE: lambda sight, tracked: (
+        not tracked.is_compatible(sight.step.spec)
+    ),
+    IneligibleReason.KEPT: lambda sight, tracked: (
+        tracked.worker in sight.reserved
     ),
-    IneligibleReason.KEPT: lambda sight, books: books.worker in sight.reserved,
-    IneligibleReason.FAILED: lambda sight, books: (
+    IneligibleReason.FAILED: lambda sight, tracked: (
         sight.step.failed_workers.avoids(
-            books.worker,
+            tracked.worker,
             sight.now,
         )
     ),
@@ -152,8 +156,8 @@
         """Start without workers."""
         self._capacity = capacity
         self._labels = labels
-        self.open_by_worker: dict[WorkerId, WorkerBooks] = {}
-        self.closed: list[tuple[WorkerBooks, IneligibleReason]] = []
+        self.open_by_worker: dict[WorkerId, TrackedWorker] = {}
+        self.closed: list[tuple[TrackedWorker, IneligibleReason]] = []
 
     def __len__(self) -> int:
         """Return how many workers are of the kind."""
@@ -165,17 +169,17 @@
             return False
         return spec.charged.fits(self._capacity)
 
-    def add(self, books: WorkerBooks, now: Seconds) -> None:
+    def add(self, tracked: TrackedWorker, now: Seconds) -> None:
         """Add a worker, with what closes it if anything does."""
-        if books.open(now):
-            self.open_by_worker[books.worker] = books
+        if tracked.accepts_work(now):
+            self.open_by_worker[tracked.worker] = tracked
             return
         closing = next(
             obstacle
             for obstacle, holds in _TEST_BY_CLOSING.items()
-            if holds(books, now)
+            if holds(tracked, now)
         )
-        self.closed.append((books, closing))
+        self.closed.append((tracked, closing))
 
 
 class FleetEligibility:
@@ -183,7 +187,7 @@
 
     Parameters
     ----------
-    every : iterable of WorkerBooks
+    every : iterable of TrackedWorker
         Workers of all services.
     reserved : frozenset of str
         Workers that are kept for some steps.
@@ -193,7 +197,7 @@
 
     def __init__(
         self,
-        every: Iterable[WorkerBooks],
+        every: Iterable[TrackedWorker],
         reserved: frozenset[WorkerId],
         now: Seconds,
     ) -> None:
@@ -217,11 +221,11 @@
             idle.update(_idle_of_closed(step, kind))
             permitted = _permitted(step, kind, counts)
             examined += len(permitted)
-            for books in permitted:
-                obstacle = _obstacle(sight, books)
+            for tracked in permitted:
+                obstacle = _obstacle(sight, tracked)
                 counts[obstacle] += 1
                 if obstacle is not IneligibleReason.ROOM:
-                    idle[books.worker] = obstacle
+                    idle[tracked.worker] = obstacle
         named = heapq.nsmallest(_MOST_NAMED, idle.items(), key=itemgetter(0))
         held = self._held_by_service[service]
         return EligibilitySummary(+counts, dict(named), held, examined)
@@ -232,14 +236,14 @@
             tuple[ServiceName, Size, tuple[str, ...]],
             _Kind,
         ] = {}
-        for books in self._every:
-            entry = books.entry
+        for tracked in self._every:
+            entry = tracked.entry
             need = entry.service, entry.capacity, entry.labels
             kind = kind_by_need.get(need)
             if kind is None:
                 kind = _Kind(entry.capacity, entry.labels)
                 kind_by_need[need] = kind
-            kind.add(books, self._now)
+            kind.add(tracked, self._now)
         kinds_by_service: defaultdict[ServiceName, list[_Kind]] = defaultdict(
             list
         )
@@ -250,13 +254,15 @@
     @cached_property
     def _held_by_service(self) -> Counter[ServiceName]:
         return Counter(
-            books.entry.service for books in self._every if books.held_by_step
+            tracked.entry.service
+            for tracked in self._every
+            if tracked.held_by_step
         )
 
 
-def _obstacle(sight: _Sight, books: WorkerBooks) -> IneligibleReason:
+def _obstacle(sight: _Sight, tracked: TrackedWorker) -> IneligibleReason:
     for obstacle, holds in _TEST_BY_OBSTACLE.items():
-        if holds(sight, books):
+        if holds(sight, tracked):
             return obstacle
     return IneligibleReason.NONE
 
@@ -265,7 +271,7 @@
     step: StepState,
     kind: _Kind,
     counts: Counter[IneligibleReason],
-) -> list[WorkerBooks]:
+) -> list[TrackedWorker]:
     """Return the open workers that are permitted, and count the others."""
     open_by_worker = kind.open_by_worker
     if step.job.queue.advice is None:
@@ -286,8 +292,8 @@
 ) -> Iterator[tuple[WorkerId, IneligibleReason]]:
     """Yield the closed workers that are permitted and not full."""
     advised = step.job.queue.advice is not None
-    for books, closing in kind.closed:
-        if advised and books.worker not in step.permits.good:
+    for tracked, closing in kind.closed:
+        if advised and tracked.worker not in step.permits.good:
             continue
-        if step.spec.charged.fits(books.free + books.held):
-            yield books.worker, closing
+        if step.spec.charged.fits(tracked.free + tracked.held):
+            yield tracked.worker, closing
--- a/orchidrail/shard/fleet.py
+++ b/orchidrail/shard/fleet.py
@@ -13,10 +13,10 @@
 
 from orchidrail.background_tasks import TaskSet
 from orchidrail.journal import JournalView
-from orchidrail.shard.crash_evidence import LifeEnd
+from orchidrail.shard.crash_evidence import IncarnationEnd
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import (
     Epoch,
     Seconds,
@@ -71,7 +71,7 @@
     serves : callable
         Whether any queue is run by a service.
     longest_lease : float
-    doubt_until : float
+    prior_leases_end : float
         When runs of an earlier owner have surely ended.
     may_renew : callable
         Whether this owner may still keep runs alive.
@@ -87,7 +87,7 @@
         *,
         serves: Callable[[ServiceName], bool],
         longest_lease: Seconds,
-        doubt_until: Seconds,
+        prior_leases_end: Seconds,
         may_renew: Callable[[], bool],
     ) -> None:
         """Start without workers."""
@@ -102,7 +102,7 @@
         #: have written the entry. To take it for gone would end sound work.
         self._flaw_by_name: dict[WorkerName, EntryFlaw] = {}
         self._longest_lease = longest_lease
-        self._doubt_until = doubt_until
+        self._prior_leases_end = prior_leases_end
         self._may_renew = may_renew
         self._raw_by_name: dict[WorkerName, bytes] = {}
         #: The life that is dealt with under each name, and the last one that
@@ -146,9 +146,9 @@
 
     def look_soon(self) -> None:
         """Look at all workers at once: connections to some went silent."""
-        for books in self._state.books_by_worker.values():
-            if books.session.reachable:
-                books.session.look_soon()
+        for tracked in self._state.tracked_by_worker.values():
+            if tracked.session.reachable:
+                tracked.session.look_soon()
 
     def _meet_earlier_workers(self) -> None:
         """Look for the workers that the owner before dealt with.
@@ -182,8 +182,8 @@
                 self._raw_by_name[name] = raw
                 self._take_entry(name, raw)
                 self._written_at_by_name[name] = now
-        for books in self._state.books_by_worker.values():
-            self._look_up(books, raw_by_key, now)
+        for tracked in self._state.tracked_by_worker.values():
+            self._look_up(tracked, raw_by_key, now)
         for name in self._raw_by_name.keys() - raw_by_key.keys():
             self._raw_by_name.pop(name)
             self._over_by_name.pop(name, None)
@@ -193,29 +193,29 @@
 
     def _look_up(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         raw_by_key: dict[str, bytes],
         now: Seconds,
     ) -> None:
         """Note whether a worker has an entry, and one that can be used."""
-        name = books.entry.name
+        name = tracked.entry.name
         listed = name in raw_by_key
         if listed:
-            books.missing_since = None
-        elif books.missing_since is None:
-            books.missing_since = now
+            tracked.missing_since = None
+        elif tracked.missing_since is None:
+            tracked.missing_since = now
         usable = listed and name not in self._flaw_by_name
         lapsed = not listed and now < self._settled_at
-        unread = books.worker in self._unread
-        self._use_listed(books, (usable or lapsed) and not unread)
+        unread = tracked.worker in self._unread
+        self._use_listed(tracked, (usable or lapsed) and not unread)
 
-    def _use_listed(self, books: WorkerBooks, listed: bool) -> None:
-        if books.listed is not listed:
-            books.listed = listed
+    def _use_listed(self, tracked: TrackedWorker, listed: bool) -> None:
+        if tracked.listed is not listed:
+            tracked.listed = listed
             self._state.wanted.set()
             _log.info(
                 'worker entry is back' if listed else 'worker entry is gone',
-                worker=books.worker,
+                worker=tracked.worker,
             )
 
     def _take_entry(self, name: WorkerName, raw: bytes) -> None:
@@ -228,28 +228,28 @@
             entry.worker == self._over_by_name.get(name)
         ):
             return
-        books = self._books_of(name)
-        if books is None and not self._serves(entry.service):
+        tracked = self._books_of(name)
+        if tracked is None and not self._serves(entry.service):
             reason = f'{entry.service!r}, expected the service of a queue'
             self._pass_over(name, BadEntry(EntryFlaw.SERVICE, reason))
             return
         if self._flaw_by_name.pop(name, None) is not None:
             _log.info('worker entry understood', worker=name)
-        if books is not None and not books.session.is_life_of(entry.born):
+        if tracked is not None and not tracked.session.is_life_of(entry.born):
             # A worker starts again only after its life before is over.
             _log.info(
                 'entry of another life',
-                worker=books.worker,
+                worker=tracked.worker,
                 entry=entry.worker,
             )
-            books.session.end_life(entry.born)
-            self._forget(books)
-            books = None
-        if books is None:
+            tracked.session.end_life(entry.born)
+            self._forget(tracked)
+            tracked = None
+        if tracked is None:
             self._open_session(entry)
             self._state.keep_worker(entry)
         else:
-            self._renew_entry(books, entry)
+            self._renew_entry(tracked, entry)
 
     def _pass_over(self, name: WorkerName, bad: BadEntry) -> None:
         """Use an entry for nothing; tell it once, however often it changes."""
@@ -264,38 +264,38 @@
             reason=bad.reason,
         )
 
-    def _books_of(self, name: WorkerName) -> WorkerBooks | None:
+    def _books_of(self, name: WorkerName) -> TrackedWorker | None:
         worker = self._worker_by_name.get(name)
         if worker is None:
             return None
-        return self._state.books_by_worker.get(worker)
+        return self._state.tracked_by_worker.get(worker)
 
-    def _renew_entry(self, books: WorkerBooks, entry: WorkerEntry) -> None:
+    def _renew_entry(self, tracked: TrackedWorker, entry: WorkerEntry) -> None:
         """Take what a worker that is known says of itself now."""
-        if not self._settle_address(books, entry):
+        if not self._settle_address(tracked, entry):
             return
-        before = books.entry
-        books.take_entry(entry)
+        before = tracked.entry
+        tracked.take_entry(entry)
         changed = (entry.state, entry.capacity) != (
             before.state,
             before.capacity,
         )
-        if changed or books.worker in self._unread:
-            self._unread.discard(books.worker)
+        if changed or tracked.worker in self._unread:
+            self._unread.discard(tracked.worker)
             _log.info(
                 'worker changed',
-                worker=books.worker,
+                worker=tracked.worker,
                 state=entry.state.value,
                 leaves_in=entry.leaves_in,
                 capacity=entry.capacity,
-                free=books.free,
+                free=tracked.free,
             )
             self._state.wanted.set()
             self._state.keep_worker(entry)
 
     def _settle_address(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         entry: WorkerEntry,
     ) -> bool:
         """Return whether an entry is the worker's own, as far as is known.
@@ -305,12 +305,12 @@
         names; else the newer entry is tried: what an owner before kept may be
         the other's.
         """
-        session = books.session
+        session = tracked.session
         if entry.address == session.entry.address:
             return True
         _log.warning(
             'entry with another address',
-            worker=books.worker,
+            worker=tracked.worker,
             address=entry.address,
             called_at=session.entry.address,
             answers=session.reachable,
@@ -332,29 +332,29 @@
         day of 30 s in which one order in ten came late.
         """
         epoch = self._state.writer.owner.epoch
-        doubt_until = self._doubt_until
+        prior_leases_end = self._prior_leases_end
         earlier = self._fence_by_name.get(entry.name)
         if earlier is not None:
             epoch = Epoch(earlier + 1)
             now = self._state.clock()
-            doubt_until = max(doubt_until, now + self._longest_lease)
+            prior_leases_end = max(prior_leases_end, now + self._longest_lease)
         self._fence_by_name[entry.name] = epoch
         session = WorkerSession(
             entry,
             self._calls,
             epoch,
-            RunLease(self._longest_lease, doubt_until),
+            RunLease(self._longest_lease, prior_leases_end),
             self._runs,
             self._state.clock,
             self._may_renew,
             self._state.use_fence,
         )
-        books = WorkerBooks(session, self._state.ledger)
-        books.crashed_at = self._runs.last_crash_at(entry.address)
-        self._state.books_by_worker[books.worker] = books
-        self._worker_by_name[entry.name] = books.worker
+        tracked = TrackedWorker(session, self._state.ledger)
+        tracked.crashed_at = self._runs.last_crash_at(entry.address)
+        self._state.tracked_by_worker[tracked.worker] = tracked
+        self._worker_by_name[entry.name] = tracked.worker
         self._keep_looking(session)
-        _log.info('worker listed', worker=books.worker, zone=entry.zone)
+        _log.info('worker listed', worker=tracked.worker, zone=entry.zone)
 
     def _keep_looking(self, session: WorkerSession) -> None:
         """Run a session, anew if it fails: its worker must be looked at."""
@@ -372,25 +372,25 @@
             await session.run()
 
     def _look_again(self, session: WorkerSession) -> None:
-        books = self._state.books_by_worker.get(session.worker)
-        if books is not None and books.session is session:
+        tracked = self._state.tracked_by_worker.get(session.worker)
+        if tracked is not None and tracked.session is session:
             self._keep_looking(session)
 
     def _sweep(self) -> None:
         """Give up what has surely ended: lapsed leases, workers gone."""
         now = self._state.clock()
-        for worker, books in list(self._state.books_by_worker.items()):
-            session = books.session
-            if self._has_left(books):
+        for worker, tracked in list(self._state.tracked_by_worker.items()):
+            session = tracked.session
+            if self._has_left(tracked):
                 _log.info('worker has left', worker=worker)
                 session.end_life()
             lapsed = not session.reachable and session.lease.ended(now)
             if lapsed and not session.over:
-                self._runs.give_up_worker(worker, LifeEnd.LEASE_ENDED)
-            if session.over or (lapsed and self._gone(books, now)):
-                self._forget(books)
+                self._runs.give_up_worker(worker, IncarnationEnd.LEASE_EXPIRED)
+            if session.over or (lapsed and self._gone(tracked, now)):
+                self._forget(tracked)
                 self._meet_next_life(session)
-        if now > self._doubt_until:
+        if now > self._prior_leases_end:
             self._sweep_unmet()
 
     def _meet_next_life(self, session: WorkerSession) -> None:
@@ -403,50 +403,50 @@
         entry = msgspec.structs.replace(session.entry, born=session.next_born)
         self._unread.add(entry.worker)
         self._open_session(entry)
-        self._state.books_by_worker[entry.worker].listed = False
+        self._state.tracked_by_worker[entry.worker].listed = False
 
     def _sweep_unmet(self) -> None:
         """Give up workers of an earlier owner that never came back."""
         unmet = self._state.unresolved_by_worker.keys()
-        for worker in unmet - self._state.books_by_worker.keys():
-            self._runs.give_up_worker(worker, LifeEnd.NEVER_MET)
+        for worker in unmet - self._state.tracked_by_worker.keys():
+            self._runs.give_up_worker(worker, IncarnationEnd.NEVER_REACHED)
 
-    def _has_left(self, books: WorkerBooks) -> bool:
+    def _has_left(self, tracked: TrackedWorker) -> bool:
         """Whether a worker that said so has left, with all that ran there.
 
         Its entry goes at once then. One that lapsed tells nothing: the worker
         may be cut off and run on.
         """
-        since = books.missing_since
-        if since is None or books.entry.state is not WorkerState.DRAINING:
+        since = tracked.missing_since
+        if since is None or tracked.entry.state is not WorkerState.DRAINING:
             return False
-        if books.session.reachable or books.session.over:
+        if tracked.session.reachable or tracked.session.over:
             return False
         written = self._written_at_by_name.get(
-            books.entry.name,
+            tracked.entry.name,
             self._gap_ended_at,
         )
         return written > self._gap_ended_at and since - written < _FRESH_FOR
 
-    def _gone(self, books: WorkerBooks, now: Seconds) -> bool:
-        since = books.missing_since
-        if since is None or books.run_by_key:
+    def _gone(self, tracked: TrackedWorker, now: Seconds) -> bool:
+        since = tracked.missing_since
+        if since is None or tracked.run_by_key:
             return False
-        draining = books.entry.state is WorkerState.DRAINING
+        draining = tracked.entry.state is WorkerState.DRAINING
         return draining or now - since > _MISSING_FOR
 
-    def _forget(self, books: WorkerBooks) -> None:
-        name = books.entry.name
-        self._fence_by_name[name] = books.session.epoch
-        if books.session.over:
-            self._over_by_name[name] = books.session.entry.worker
-        books.session.close()
+    def _forget(self, tracked: TrackedWorker) -> None:
+        name = tracked.entry.name
+        self._fence_by_name[name] = tracked.session.epoch
+        if tracked.session.over:
+            self._over_by_name[name] = tracked.session.entry.worker
+        tracked.session.close()
         self._written_at_by_name.pop(name, None)
         self._worker_by_name.pop(name, None)
-        self._unread.discard(books.worker)
-        self._state.books_by_worker.pop(books.worker, None)
-        self._state.drop_worker(books)
-        task = self._task_by_worker.pop(books.worker, None)
+        self._unread.discard(tracked.worker)
+        self._state.tracked_by_worker.pop(tracked.worker, None)
+        self._state.drop_worker(tracked)
+        task = self._task_by_worker.pop(tracked.worker, None)
         if task is not None:
             task.cancel()
-        _log.info('worker forgotten', worker=books.worker)
+        _log.info('worker forgotten', worker=tracked.worker)
--- a/orchidrail/shard/headroom.py
+++ b/orchidrail/shard/headroom.py
@@ -10,7 +10,7 @@
 from collections import defaultdict
 
 from orchidrail.shard.decaying_peak import DecayingPeak
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import Seconds, ServiceName
 
 #: Most of the service's open room that is ever kept.
@@ -27,11 +27,11 @@
         )
         self._now: Seconds = 0
 
-    def note(self, open_books: list[WorkerBooks], now: Seconds) -> None:
+    def note(self, open_books: list[TrackedWorker], now: Seconds) -> None:
         """Take what urgent work uses now."""
         used: dict[ServiceName, int] = defaultdict(int)
-        for books in open_books:
-            used[books.entry.service] += books.urgent_millicores
+        for tracked in open_books:
+            used[tracked.entry.service] += tracked.urgent_millicores
         self._now = now
         for service, millicores in used.items():
             self._peak_by_service[service].note(millicores, now)
@@ -39,20 +39,20 @@
     def available_to_others(
         self,
         service: ServiceName,
-        usable: list[WorkerBooks],
+        usable: list[TrackedWorker],
     ) -> int:
         """Return how many millicores other work may still take.
 
         Parameters
         ----------
-        usable : list of WorkerBooks
+        usable : list of TrackedWorker
             The open workers of the service.
         """
         free, whole, used = 0, 0, 0
-        for books in usable:
-            free += books.free.millicores
-            whole += books.entry.capacity.millicores
-            used += books.urgent_millicores
+        for tracked in usable:
+            free += tracked.free.millicores
+            whole += tracked.entry.capacity.millicores
+            used += tracked.urgent_millicores
         last_peak = self._peak_by_service[service].at(self._now)
         peak = min(last_peak, _MOST_SHARE * whole)
         return int(free - max(0, peak - used))
--- a/orchidrail/shard/inherited_runs.py
+++ b/orchidrail/shard/inherited_runs.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from orchidrail.shard.crash_evidence import LifeEnd
+from orchidrail.shard.crash_evidence import IncarnationEnd
 from orchidrail.shard.run_ends import RunEnds
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.records import TaskPhase
 from orchidrail.work.step import Task
@@ -30,19 +30,19 @@
         self,
         state: ShardState,
         ends: RunEnds,
-        give_up: Callable[[WorkerId, LifeEnd], None],
+        give_up: Callable[[WorkerId, IncarnationEnd], None],
     ) -> None:
         """Go by what the journal has told."""
         self._state = state
         self._ends = ends
         self._give_up = give_up
 
-    def adopt(self, books: WorkerBooks, active: ActiveRun) -> PlacedRun:
+    def adopt(self, tracked: TrackedWorker, active: ActiveRun) -> PlacedRun:
         """Take over a run that an earlier owner started."""
         task = self._state.find_task(active.key.task)
         now = self._state.clock()
-        left = self._state.unresolved_by_worker.left_on(
-            books.worker,
+        left = self._state.unresolved_by_worker.lingering_on(
+            tracked.worker,
             active.key,
         )
         size = left.size if left else None
@@ -56,39 +56,39 @@
             trial=task is not None and task.suspected,
             left=left,
         )
-        books.charge(run, active.key.task.rpartition('.')[0])
-        if task is not None and _unlogged(task, active.key.run, books):
-            task.step.job.place(task, active.key.run, books.worker)
+        tracked.allocate(run, active.key.task.rpartition('.')[0])
+        if task is not None and _unlogged(task, active.key.run, tracked):
+            task.step.job.place(task, active.key.run, tracked.worker)
             self._state.save(task.step.job)
             self._state.changed_jobs.add(task.step.job.job_id)
         return run
 
-    def resolve(self, books: WorkerBooks, seen: set[RunKey]) -> None:
+    def resolve(self, tracked: TrackedWorker, seen: set[RunKey]) -> None:
         """Settle the runs that an earlier owner placed on this worker.
 
         One that answers has no other life any more. The journals of older
         versions don't tell lives apart.
         """
-        name = books.entry.name
+        name = tracked.entry.name
         unresolved = self._state.unresolved_by_worker
         for worker in list(unresolved):
             if split_life(worker)[0] != name:
                 continue
             gone = [
                 (task, number)
-                for task, number in unresolved.settle(worker)
+                for task, number in unresolved.pop_runs(worker)
                 if RunKey(task.key, number) not in seen
             ]
-            if worker not in (books.worker, name):
+            if worker not in (tracked.worker, name):
                 unresolved[worker] = gone
-                self._give_up(worker, LifeEnd.CRASHED)
+                self._give_up(worker, IncarnationEnd.CRASHED)
                 continue
             for task, number in gone:
                 self._ends.requeue(task, number)
 
 
-def _unlogged(task: Task, run: RunNumber, books: WorkerBooks) -> bool:
+def _unlogged(task: Task, run: RunNumber, tracked: TrackedWorker) -> bool:
     """Whether the journal doesn't tell that a run is on this life."""
     if task.phase is TaskPhase.DONE or run < task.run:
         return False
-    return run > task.run or task.worker != books.worker
+    return run > task.run or task.worker != tracked.worker
--- a/orchidrail/shard/lease_timing.py
+++ b/orchidrail/shard/lease_timing.py
@@ -1,7 +1,7 @@
 """For how long an owner may act without hearing that it still owns.
 
 A start is in the journal before it is sent, so a new owner knows of all that
-may run. An owner that can't write goes on renewing leases for `renew_for`,
+may run. An owner that can't write goes on renewing leases for `renewal_grace`,
 then lets go; a new owner that can't reach a worker waits for that, and for the
 longest lease, before it gives up what runs there. While the store answers none
 of the peers, and peers of all zones are heard, nobody can have taken over, and
@@ -26,37 +26,37 @@
 LEAST_RENEWALS: Seconds = 2.0
 
 
-def lease_for(longest_allowed: Seconds) -> Seconds:
+def lease_duration(longest_allowed: Seconds) -> Seconds:
     """Return how long a lease lasts where the platform allows so much.
 
     Examples
     --------
-    >>> lease_for(longest_allowed=6), lease_for(longest_allowed=10)
+    >>> lease_duration(longest_allowed=6), lease_duration(longest_allowed=10)
     (6, 8.0)
     """
     return min(longest_allowed, _LONGEST_LEASE)
 
 
-def renew_for(longest_lease: Seconds) -> Seconds:
+def renewal_grace(longest_lease: Seconds) -> Seconds:
     """Return for how long after its last append an owner renews leases.
 
     The last renewal holds for a whole lease, so long leases need few.
 
     Examples
     --------
-    >>> renew_for(longest_lease=6), renew_for(longest_lease=10)
+    >>> renewal_grace(longest_lease=6), renewal_grace(longest_lease=10)
     (5.0, 2.0)
     """
     return max(LEAST_RENEWALS, _OUTLIVES - longest_lease)
 
 
-def doubt_until(taken_over_at: Seconds, longest_lease: Seconds) -> Seconds:
+def prior_leases_end(taken_over_at: Seconds, longest_lease: Seconds) -> Seconds:
     """Return when runs leased by an earlier owner have surely ended.
 
     Examples
     --------
-    >>> round(doubt_until(taken_over_at=100, longest_lease=6), 1)
+    >>> round(prior_leases_end(taken_over_at=100, longest_lease=6), 1)
     111.1
     """
     lasts = longest_lease / (1 - SLOWEST_CLOCK)
-    return taken_over_at + renew_for(longest_lease) + lasts
+    return taken_over_at + renewal_grace(longest_lease) + lasts
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -56,7 +56,7 @@
         """Tell of the load as it is now."""
         state = self._state
         now = state.clock()
-        every = list(state.books_by_worker.values())
+        every = list(state.tracked_by_worker.values())
         work = self._placer.waiting_work()
         waiting_tasks = self._placer.waiting_tasks()
         update_worker_gauges(state, waiting_tasks)
@@ -64,7 +64,7 @@
         self._long_waits.report(work)
         oldest_question = state.open_questions.longest_in_line()
         state.metrics.oldest_question.set(oldest_question)
-        free = sum(books.free.millicores for books in every)
+        free = sum(tracked.free.millicores for tracked in every)
         _log.info(
             'shard load',
             jobs=len(state.job_by_id),
@@ -72,7 +72,7 @@
             waiting_steps=len(work.steps),
             asking=sum(step.permits.asking for step in work.steps),
             workers=len(every),
-            open_workers=sum(books.open(now) for books in every),
+            open_workers=sum(tracked.accepts_work(now) for tracked in every),
             free_cores=free // _MILLIS,
             unconfirmed=round(state.writer.unconfirmed_for(), 3),
             oldest_question=round(oldest_question, 3),
@@ -95,8 +95,8 @@
     """Set the gauges of workers and of what waits for them."""
     metrics = state.metrics
     now = state.clock()
-    every = state.books_by_worker.values()
-    open_count = sum(books.open(now) for books in every)
+    every = state.tracked_by_worker.values()
+    open_count = sum(tracked.accepts_work(now) for tracked in every)
     metrics.workers.labels('open').set(open_count)
     metrics.workers.labels('closed').set(len(every) - open_count)
     metrics.waiting_tasks.set(waiting_tasks)
--- a/orchidrail/shard/long_waits.py
+++ b/orchidrail/shard/long_waits.py
@@ -14,7 +14,7 @@
 
 from orchidrail.shard.eligibility import EligibilitySummary, FleetEligibility
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.worker_contact import silent_for
+from orchidrail.shard.worker_contact import longest_silence
 from orchidrail.types import JobId, QueueName, Seconds, WorkerId
 from orchidrail.work.step import StepState
 from orchidrail.work.wait_times import WaitReason
@@ -92,7 +92,7 @@
         )
         due = [wait for wait in long if self._is_due(wait.step, now)]
         fleet = FleetEligibility(
-            self._state.books_by_worker.values(),
+            self._state.tracked_by_worker.values(),
             work.reserved,
             now,
         )
@@ -148,7 +148,7 @@
         }
 
     def _silence(self, step: StepState) -> dict[str, object]:
-        silence = silent_for(self._state, step)
+        silence = longest_silence(self._state, step)
         return {'unheard': round(silence, 3)} if silence > _SILENT else {}
 
     def _gauge(self, waits: Iterable[LongWait]) -> None:
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -20,13 +20,17 @@
 )
 from orchidrail.shard.advice_dispatcher import AdviceDesk, AskThrough
 from orchidrail.shard.fleet import DecodeEntry, Fleet
-from orchidrail.shard.lease_timing import doubt_until, renew_for
+from orchidrail.shard.lease_timing import prior_leases_end, renewal_grace
 from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.stored_state import StoredState, read_state
-from orchidrail.shard.tenant_ledger import FindTenant, Holding, unknown_tenant
+from orchidrail.shard.tenant_ledger import (
+    FindTenant,
+    QuotaUsage,
+    find_no_tenant,
+)
 from orchidrail.types import (
     InstanceId,
     JobId,
@@ -83,7 +87,7 @@
     #: Services that run the queues in force; None if that is not known yet.
     services: Callable[[], Collection[ServiceName] | None] = _unknown
     #: A tenant as the configuration in force has it.
-    find_tenant: FindTenant = unknown_tenant
+    find_tenant: FindTenant = find_no_tenant
 
 
 class ShardOwner:
@@ -117,7 +121,7 @@
         self.desk = AdviceDesk(ports.ask, ports.clock)
         self.placer = Placer(self.state, self.runs, self.desk)
         earlier = writer.owner.epoch > 1
-        doubted = doubt_until(now, ports.longest_lease) if earlier else 0
+        doubted = prior_leases_end(now, ports.longest_lease) if earlier else 0
         self._fleet = Fleet(
             self.state,
             self.runs,
@@ -126,7 +130,7 @@
             ports.decode_entry,
             serves=self._serves,
             longest_lease=ports.longest_lease,
-            doubt_until=doubted,
+            prior_leases_end=doubted,
             may_renew=self._may_renew,
         )
         self._restore()
@@ -351,7 +355,7 @@
     def _may_renew(self) -> bool:
         if self.writer.fenced.is_set():
             return False
-        longest = renew_for(self._ports.longest_lease)
+        longest = renewal_grace(self._ports.longest_lease)
         confirmed = self.writer.unconfirmed_for() < longest
         return confirmed or self._ports.store_away()
 
@@ -381,10 +385,10 @@
     def _restore_left(self, ended: EndedRecord) -> None:
         """Count what may be left of an ended job until its workers are met."""
         for run in ended.left:
-            self.state.unresolved_by_worker.add_left(
+            self.state.unresolved_by_worker.add_lingering(
                 life_of(run.worker, run.born),
                 RunKey(run.task, run.run),
-                Holding(ended.tenant.name, run.size),
+                QuotaUsage(ended.tenant.name, run.size),
             )
 
     async def _expire_jobs(self) -> None:
--- a/orchidrail/shard/placement_pass.py
+++ b/orchidrail/shard/placement_pass.py
@@ -12,7 +12,7 @@
     half_in_use,
     needs_reservation,
 )
-from orchidrail.shard.tracked_worker import TaskRole, WorkerBooks, role_of
+from orchidrail.shard.tracked_worker import TaskRole, TrackedWorker, role_of
 from orchidrail.types import (
     JobId,
     Seconds,
@@ -103,9 +103,9 @@
         advised = self.step.job.queue.advice is not None
         good = self.step.permits.good
         return not any(
-            size.fits(books.free)
-            for books in this_pass.with_more_free
-            if not advised or books.worker in good
+            size.fits(tracked.free)
+            for tracked in this_pass.with_more_free
+            if not advised or tracked.worker in good
         )
 
     def note_no_room(self, this_pass: Pass) -> None:
@@ -162,21 +162,21 @@
         self._free_by_worker: dict[WorkerId, Size] = {}
 
     def with_more_free(
-        self, open_books: list[WorkerBooks]
-    ) -> list[WorkerBooks]:
+        self, open_books: list[TrackedWorker]
+    ) -> list[TrackedWorker]:
         """Return the workers that have more room than then, or are new."""
         before = self._free_by_worker
         return [
-            books
-            for books in open_books
-            if books.worker not in before
-            or not books.free.fits(before[books.worker])
+            tracked
+            for tracked in open_books
+            if tracked.worker not in before
+            or not tracked.free.fits(before[tracked.worker])
         ]
 
-    def note(self, open_books: list[WorkerBooks]) -> None:
+    def note(self, open_books: list[TrackedWorker]) -> None:
         """Take that a pass has ended."""
         self._free_by_worker = {
-            books.worker: books.free for books in open_books
+            tracked.worker: tracked.free for tracked in open_books
         }
 
 
@@ -185,12 +185,12 @@
 
     def __init__(
         self,
-        open_books: list[WorkerBooks],
+        open_books: list[TrackedWorker],
         now: Seconds,
         wall: Seconds,
         headroom: Headroom,
-        with_more_free: list[WorkerBooks],
-        resting: list[WorkerBooks],
+        with_more_free: list[TrackedWorker],
+        resting: list[TrackedWorker],
     ) -> None:
         """Start with all open workers, and with those that rest."""
         self.with_more_free = with_more_free
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -19,7 +19,7 @@
 from orchidrail.shard.ranking import Rank, step_timing
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import JobId, Seconds, WorkerId
 from orchidrail.work.step import StepState, Task, in_turn
@@ -92,12 +92,16 @@
         if self._waits_for_journal(now):
             return
         able = [
-            books
-            for books in self._state.books_by_worker.values()
-            if books.able
+            tracked
+            for tracked in self._state.tracked_by_worker.values()
+            if tracked.available
+        ]
+        open_books = [
+            tracked for tracked in able if now >= tracked.quarantined_until
+        ]
+        resting = [
+            tracked for tracked in able if now < tracked.quarantined_until
         ]
-        open_books = [books for books in able if now >= books.rests_until]
-        resting = [books for books in able if now < books.rests_until]
         self._headroom.note(open_books, now)
         with_more_free = self._rooms.with_more_free(open_books)
         this_pass = Pass(
@@ -163,8 +167,8 @@
             tasks = in_turn(tasks)
         in_limit: list[Task] = []
         if tenant not in this_pass.tenants_saving_limit or step.job.urgent:
-            in_limit = self._state.ledger.allow(step, tasks)
-            if not in_limit and self._state.ledger.needs_most(step):
+            in_limit = self._state.ledger.within_limit(step, tasks)
+            if not in_limit and self._state.ledger.needs_most_of_limit(step):
                 this_pass.tenants_saving_limit.add(tenant)
         if not in_limit:
             step.limited_at = this_pass.now
@@ -270,7 +274,7 @@
         self,
         step: StepState,
         tasks: list[Task],
-        with_free_capacity: list[WorkerBooks],
+        with_free_capacity: list[TrackedWorker],
     ) -> list[Placement]:
         """Choose workers, for a gang such as have tickets if they are enough.
 
@@ -281,9 +285,9 @@
         if step.spec.gang and step.job.queue.advice is not None:
             until = self._state.clock() + TICKET_MARGIN
             ready = [
-                books
-                for books in with_free_capacity
-                if step.permits.fresh(books.worker, until)
+                tracked
+                for tracked in with_free_capacity
+                if step.permits.fresh(tracked.worker, until)
             ]
             chosen = choose_workers(step, tasks, ready)
             if chosen:
@@ -302,7 +306,7 @@
         ready = [
             placement
             for placement in chosen
-            if step.permits.fresh(placement.books.worker, until)
+            if step.permits.fresh(placement.tracked.worker, until)
         ]
         if step.spec.gang and len(ready) < len(chosen):
             ready = []
--- a/orchidrail/shard/reservations.py
+++ b/orchidrail/shard/reservations.py
@@ -8,7 +8,7 @@
 
 import math
 
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -24,15 +24,15 @@
 _HALVES = 2
 
 
-def half_in_use(workers: list[WorkerBooks]) -> bool:
+def half_in_use(workers: list[TrackedWorker]) -> bool:
     """Whether at least half of all that the workers have is in use.
 
     While there is more room than that, no work is to wait for a worker that is
     kept for others.
     """
     cores, accelerators = 0, 0
-    for books in workers:
-        free, whole = books.free, books.entry.capacity
+    for tracked in workers:
+        free, whole = tracked.free, tracked.entry.capacity
         cores += whole.millicores - _HALVES * free.millicores
         accelerators += whole.accelerators - _HALVES * free.accelerators
     return cores >= 0 and accelerators >= 0
@@ -54,7 +54,7 @@
 def choose_reserved_workers(
     step: StepState,
     missing: int,
-    candidates: list[WorkerBooks],
+    candidates: list[TrackedWorker],
     now: Seconds,
 ) -> set[WorkerId]:
     """Choose the workers that will have room for `missing` tasks soonest.
@@ -64,21 +64,21 @@
     """
     size = step.spec.charged
     waits = [
-        (time_until_free(books, size, now), books)
-        for books in candidates
-        if _takes(step, books)
+        (time_until_free(tracked, size, now), tracked)
+        for tracked in candidates
+        if _takes(step, tracked)
     ]
     waits.sort(key=lambda pair: pair[0])
     reserved: set[WorkerId] = set()
-    for wait, books in waits:
+    for wait, tracked in waits:
         if missing <= 0 or wait == math.inf:
             break
-        reserved.add(books.worker)
-        missing -= _takes(step, books)
+        reserved.add(tracked.worker)
+        missing -= _takes(step, tracked)
     return set() if step.spec.gang and missing > 0 else reserved
 
 
-def _takes(step: StepState, books: WorkerBooks) -> int:
+def _takes(step: StepState, tracked: TrackedWorker) -> int:
     """Return how many more tasks of a step a worker takes once it has room.
 
     One that holds the most copies has none for it, for as long as those run;
@@ -87,24 +87,26 @@
     most = step.spec.most_per_worker
     lasting = (
         run.size or Size()
-        for run in books.run_by_key.values()
+        for run in tracked.run_by_key.values()
         if run.task is not None and run.task.step.spec.lasting
     )
-    comes_free = books.entry.capacity - sum(lasting, Size())
+    comes_free = tracked.entry.capacity - sum(lasting, Size())
     fitting = max(0, step.spec.charged.times_in(comes_free))
     if not most:
         return fitting
-    return max(0, min(fitting, most - books.count_by_step[step.key]))
+    return max(0, min(fitting, most - tracked.count_by_step[step.key]))
 
 
-def time_until_free(books: WorkerBooks, size: Size, now: Seconds) -> Seconds:
+def time_until_free(
+    tracked: TrackedWorker, size: Size, now: Seconds
+) -> Seconds:
     """Return after how long a worker is expected to have room for `size`."""
-    free = books.free
+    free = tracked.free
     if size.fits(free):
         return 0
     ends = sorted(
         (expected_time_left(run, now), run.size)
-        for run in books.run_by_key.values()
+        for run in tracked.run_by_key.values()
         if run.size is not None
     )
     for left, freed in ends:
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -11,7 +11,7 @@
 from orchidrail.shard.quarantine import QuarantinePolicy
 from orchidrail.shard.ranking import round_deadline
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber, Seconds
 from orchidrail.work.job import Job
 from orchidrail.work.records import TaskPhase
@@ -42,7 +42,7 @@
     def __init__(
         self,
         state: ShardState,
-        stop: Callable[[WorkerBooks, PlacedRun], None],
+        stop: Callable[[TrackedWorker, PlacedRun], None],
         stop_job: Callable[[Job], None],
     ) -> None:
         """Start without ends."""
@@ -54,11 +54,11 @@
 
     def end(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         ended: EndedRun,
     ) -> None:
         """Take an end that a worker has told of."""
-        run = books.release(ended.key)
+        run = tracked.release(ended.key)
         task = self._state.find_task(ended.key.task)
         if task is None:
             return
@@ -73,38 +73,38 @@
             ended.ending.value,
         ).inc()
         if run is not None and ended.ending is RunEnding.DONE:
-            self._learn_pace(books, run, task)
-        self._judge(books, run, task, ended.ending)
+            self._learn_pace(tracked, run, task)
+        self._judge(tracked, run, task, ended.ending)
         if ended.ending is not RunEnding.DONE:
             _log.info(
                 'run ended',
                 task=ended.key.task,
                 run=ended.key.run,
-                worker=books.worker,
+                worker=tracked.worker,
                 ending=ended.ending.value,
                 failures=task.failures,
             )
         if ended.ending in (RunEnding.LAPSED, RunEnding.ALONE):
             self._break_gang(task)
 
-    def note_active(self, books: WorkerBooks, run: PlacedRun) -> None:
+    def note_active(self, tracked: TrackedWorker, run: PlacedRun) -> None:
         """Take that a run is at work; one that lasts has no other success.
 
         It counts once: it says nothing of what its worker starts later.
         """
         if run.sound or run.task is None or not run.task.step.spec.lasting:
             return
-        if books.outlived(run) >= _SOUND_AFTER:
+        if tracked.outlived(run) >= _SOUND_AFTER:
             run.sound = True
-            self._standings.note_success(books.worker)
+            self._standings.note_success(tracked.worker)
 
     def lose(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         run: PlacedRun,
     ) -> None:
         """Take a run for ended that left no end behind."""
-        books.release(run.key)
+        tracked.release(run.key)
         if run.task is not None:
             self.requeue(run.task, run.key.run)
 
@@ -139,7 +139,7 @@
 
     def _learn_pace(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         run: PlacedRun,
         task: Task,
     ) -> None:
@@ -147,39 +147,41 @@
         took = self._state.clock() - run.confirmed_at
         if not math.isfinite(took):
             return
-        task.step.job.note_run(took, books.worker)
+        task.step.job.note_run(took, tracked.worker)
         if spec.gang or task.checkpoint:
             return
-        paces = self._state.paces
-        paces.note(books.worker, task.step.job.queue.name, took, spec.estimate)
-        books.pace = paces.of(books.worker)
+        paces = self._state.speeds
+        paces.note(
+            tracked.worker, task.step.job.queue.name, took, spec.estimate
+        )
+        tracked.speed_class = paces.of(tracked.worker)
 
     def _judge(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         run: PlacedRun | None,
         task: Task,
         ending: RunEnding,
     ) -> None:
         """Draw conclusions about the worker from how a run ended."""
         if ending is RunEnding.DONE:
-            self._standings.note_success(books.worker)
+            self._standings.note_success(tracked.worker)
         if ending is not RunEnding.FAILED:
             return
         if run is not None and run.sound:
             # What lasts may fail at any time, wherever it runs.
             return
         now = self._state.clock()
-        task.step.failed_workers.note_failure(books.worker, now)
+        task.step.failed_workers.note_failure(tracked.worker, now)
         rest = self._standings.note_failure(
-            books.worker,
+            tracked.worker,
             task.step.job.job_id,
             now,
-            len(self._state.books_by_worker),
+            len(self._state.tracked_by_worker),
         )
         if rest:
-            books.rest(now, rest)
-            _log.info('worker rests', worker=books.worker, seconds=rest)
+            tracked.quarantine(now, rest)
+            _log.info('worker rests', worker=tracked.worker, seconds=rest)
 
     def _break_gang(self, task: Task) -> None:
         """Stop the other members of a gang that has lost one."""
@@ -188,11 +190,11 @@
         for member in task.step.tasks:
             if member.phase is not TaskPhase.PLACED:
                 continue
-            books = self._state.books_by_worker.get(member.worker)
+            tracked = self._state.tracked_by_worker.get(member.worker)
             key = RunKey(member.key, member.run)
-            run = books.run_by_key.get(key) if books else None
-            if books is not None and run is not None:
-                self._stop(books, run)
+            run = tracked.run_by_key.get(key) if tracked else None
+            if tracked is not None and run is not None:
+                self._stop(tracked, run)
 
     def _settle(self, job: Job) -> Commit:
         """Save a job after its runs changed; end what is left if it is over."""
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -13,15 +13,15 @@
 from orchidrail.journal.writer import Commit
 from orchidrail.shard.colocation import best_effort_runs, best_effort_to_evict
 from orchidrail.shard.crash_attribution import CrashJudge
-from orchidrail.shard.crash_evidence import LifeEnd
+from orchidrail.shard.crash_evidence import IncarnationEnd
 from orchidrail.shard.inherited_runs import EarlierRuns
 from orchidrail.shard.run_ends import RunEnds
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import (
-    PROVEN_AFTER,
+    STARTUP_CRASH_WINDOW,
     PlacedRun,
-    WorkerBooks,
-    note_answers,
+    TrackedWorker,
+    note_latency,
     note_progress,
 )
 from orchidrail.shard.worker_selection import Placement
@@ -105,14 +105,14 @@
         commit = self._state.save(step.job)
         self._state.changed_jobs.add(step.job.job_id)
         for one, placement in zip(placed, chosen, strict=True):
-            doubt = partial(self._doubt_start, one, placement.books)
+            doubt = partial(self._doubt_start, one, placement.tracked)
             self._tasks.spawn(self._start(commit, one, placement), doubt)
         _log.info(
             'placed',
             job=step.job.job_id,
             step=step.key,
             run=run,
-            workers=[placement.books.worker for placement in chosen],
+            workers=[placement.tracked.worker for placement in chosen],
             epoch=self._state.writer.owner.epoch,
         )
 
@@ -136,30 +136,30 @@
 
     def stop_job(self, job: Job) -> None:
         """Stop all that a job has placed anywhere."""
-        for books, run in self._runs_of(job):
-            self.stop(books, run)
+        for tracked, run in self._runs_of(job):
+            self.stop(tracked, run)
 
     def forget_job(self, job: Job) -> None:
         """Give back the room of a job none of whose starts was sent."""
-        for books, run in self._runs_of(job):
-            books.release(run.key)
+        for tracked, run in self._runs_of(job):
+            tracked.release(run.key)
 
-    def _runs_of(self, job: Job) -> list[tuple[WorkerBooks, PlacedRun]]:
+    def _runs_of(self, job: Job) -> list[tuple[TrackedWorker, PlacedRun]]:
         """Return a job's runs that take room, with their workers."""
-        every = map(self._state.books_by_worker.get, job.workers)
+        every = map(self._state.tracked_by_worker.get, job.workers)
         return [
-            (books, run)
-            for books in every
-            if books is not None
-            for run in books.run_by_key.values()
+            (tracked, run)
+            for tracked in every
+            if tracked is not None
+            for run in tracked.run_by_key.values()
             if run.task is not None and run.task.step.job is job
         ]
 
-    def stop(self, books: WorkerBooks, run: PlacedRun) -> None:
+    def stop(self, tracked: TrackedWorker, run: PlacedRun) -> None:
         """Order a run's stop, again until its end is known."""
         if not run.stopping:
             run.stopping = True
-            self._tasks.spawn(self._stop(books, run))
+            self._tasks.spawn(self._stop(tracked, run))
 
     def on_listing(
         self,
@@ -168,17 +168,17 @@
         sent_at: Seconds,
     ) -> list[Awaitable[bool]]:
         """See `Observer.on_listing`."""
-        books = self._state.books_by_worker[session.worker]
+        tracked = self._state.tracked_by_worker[session.worker]
         self._judge.take_back(session.worker)
         seen: set[RunKey] = set()
         for active in listing.active:
             seen.add(active.key)
-            self._see_active(books, active)
+            self._see_active(tracked, active)
         for ended in listing.ended:
             seen.add(ended.key)
-            self._ends.end(books, ended)
-        self._look_for_trouble(books)
-        self._take_gone(books, listing, seen, sent_at)
+            self._ends.end(tracked, ended)
+        self._look_for_trouble(tracked)
+        self._take_gone(tracked, listing, seen, sent_at)
         if self._ends.settle_all() or listing.ended:
             self._state.wanted.set()
         # Ends listed again may still wait for the write of their first time.
@@ -186,35 +186,35 @@
 
     def _take_gone(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         listing: Listing,
         seen: set[RunKey],
         sent_at: Seconds,
     ) -> None:
         """Take the runs that a listing should show and doesn't for ended."""
-        for run in list(books.run_by_key.values()):
+        for run in list(tracked.run_by_key.values()):
             if run.key not in seen and _surely_gone(run, listing, sent_at):
-                self._note_gone(books, run, listing)
-                self._ends.lose(books, run)
+                self._note_gone(tracked, run, listing)
+                self._ends.lose(tracked, run)
         if self._state.unresolved_by_worker:
-            self._earlier.resolve(books, seen)
+            self._earlier.resolve(tracked, seen)
 
     def _note_gone(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         run: PlacedRun,
         listing: Listing,
     ) -> None:
         """Tell what a run was taken for gone by, without an end heard."""
         self._state.metrics.runs_not_listed.inc()
         if run.in_doubt:
-            books.session.void_orders()
-        acknowledged, heard = books.session.ends_heard
+            tracked.session.void_orders()
+        acknowledged, heard = tracked.session.ends_heard
         _log.info(
             'run not listed',
             task=run.key.task,
             run=run.key.run,
-            worker=books.worker,
+            worker=tracked.worker,
             born=listing.born,
             clock=round(listing.clock, 3),
             answered=run.confirmed_at < math.inf,
@@ -225,9 +225,9 @@
 
     def on_life_over(self, session: WorkerSession) -> None:
         """See `Observer.on_life_over`."""
-        books = self._state.books_by_worker.get(session.worker)
-        left = books is not None and books.left_by_itself()
-        end = LifeEnd.LEFT if left else LifeEnd.CRASHED
+        tracked = self._state.tracked_by_worker.get(session.worker)
+        left = tracked is not None and tracked.left_voluntarily()
+        end = IncarnationEnd.LEFT if left else IncarnationEnd.CRASHED
         self.give_up_worker(session.worker, end, session.next_life)
         self._state.life_over.set()
 
@@ -243,7 +243,7 @@
     def give_up_worker(
         self,
         worker: WorkerId,
-        end: LifeEnd,
+        end: IncarnationEnd,
         next_life: WorkerId | None = None,
     ) -> None:
         """Take all that a worker ran for ended.
@@ -252,15 +252,15 @@
         under the same name; their tasks wait until that one has seen a higher
         fencing token and has told what it runs.
         """
-        unresolved = self._state.unresolved_by_worker.settle(worker)
+        unresolved = self._state.unresolved_by_worker.pop_runs(worker)
         self._judge.note_end(worker, unresolved, end)
-        books = self._state.books_by_worker.get(worker)
-        if books is not None:
-            for run in list(books.run_by_key.values()):
+        tracked = self._state.tracked_by_worker.get(worker)
+        if tracked is not None:
+            for run in list(tracked.run_by_key.values()):
                 if next_life is None or run.task is None or not run.in_doubt:
-                    self._ends.lose(books, run)
+                    self._ends.lose(tracked, run)
                     continue
-                books.release(run.key)
+                tracked.release(run.key)
                 unresolved.append((run.task, run.key.run))
         if next_life is not None and unresolved:
             self._state.unresolved_by_worker.add(next_life, unresolved)
@@ -278,11 +278,11 @@
 
     def _place(self, placement: Placement, gang_run: RunNumber) -> PlacedRun:
         """Take the room for a run and note it in its job."""
-        task, books = placement
+        task, tracked = placement
         step = task.step
         run = gang_run if step.spec.gang else step.next_run([task])
         key = RunKey(task.key, run)
-        step.job.place(task, run, books.worker)
+        step.job.place(task, run, tracked.worker)
         now = self._state.clock()
         placed = PlacedRun(
             key,
@@ -291,21 +291,23 @@
             now,
             trial=task.suspected,
         )
-        books.charge(placed, step.key)
+        tracked.allocate(placed, step.key)
         return placed
 
-    def _look_after_trial(self, books: WorkerBooks) -> None:
+    def _look_after_trial(self, tracked: TrackedWorker) -> None:
         """Look as soon as a listing can end a trial, to free its worker."""
         asyncio.get_running_loop().call_later(
-            PROVEN_AFTER,
-            books.session.look_soon,
+            STARTUP_CRASH_WINDOW,
+            tracked.session.look_soon,
         )
 
-    def _doubt_start(self, run: PlacedRun, books: WorkerBooks) -> None:
+    def _doubt_start(self, run: PlacedRun, tracked: TrackedWorker) -> None:
         """Take a start whose task failed for one without an answer."""
         if run.start_deadline == math.inf:
             now = self._state.clock()
-            run.start_deadline = books.session.lease.clock_at(now) + START_LIFE
+            run.start_deadline = (
+                tracked.session.lease.clock_at(now) + START_LIFE
+            )
 
     async def _start(
         self,
@@ -313,17 +315,17 @@
         run: PlacedRun,
         placement: Placement,
     ) -> None:
-        task, books = placement
-        ticket = task.step.permits.ticket_by_worker.get(books.worker, '')
+        task, tracked = placement
+        ticket = task.step.permits.ticket_by_worker.get(tracked.worker, '')
         job = task.step.job
-        if not await commit.wait() or not books.has(run):
+        if not await commit.wait() or not tracked.has(run):
             return
-        if run.stopping or job.ended or books.overfull:
+        if run.stopping or job.ended or tracked.overcommitted:
             # The worker's room may have shrunk since the run was placed.
-            self._not_started(books, run, OrderResult.NOT_SENT)
+            self._not_started(tracked, run, OrderResult.NOT_SENT)
             return
         run.ordered = True
-        answer, deadline = await books.session.start(
+        answer, deadline = await tracked.session.start(
             run.key,
             job.spec.text,
             task.step.checkpoint_for(task),
@@ -331,48 +333,48 @@
         )
         # A start that was refused has nothing to do with its worker's end.
         run.ordered = answer.result not in _NOT_STARTED
-        books.session.take_answer(answer)
+        tracked.session.take_answer(answer)
         now = self._state.clock()
         self._state.metrics.orders.labels(answer.result.value).inc()
         if answer.result in _REST_AFTER:
-            books.rest(now)
+            tracked.quarantine(now)
         if answer.result is OrderResult.TAKEN:
             run.confirmed_at = now
             if run.trial:
-                self._look_after_trial(books)
+                self._look_after_trial(tracked)
             return
         _log.info(
             'start not confirmed',
             task=run.key.task,
             run=run.key.run,
-            worker=books.worker,
+            worker=tracked.worker,
             result=answer.result.value,
         )
         if answer.result in _NOT_STARTED:
-            self._not_started(books, run, answer.result)
+            self._not_started(tracked, run, answer.result)
         else:
             run.start_deadline = deadline
 
     def _not_started(
         self,
-        books: WorkerBooks,
+        tracked: TrackedWorker,
         run: PlacedRun,
         result: OrderResult,
     ) -> None:
-        if not books.has(run) or run.task is None:
+        if not tracked.has(run) or run.task is None:
             return
         if result is OrderResult.NO_TICKET:
-            run.task.step.permits.expire(books.worker)
-        self._ends.lose(books, run)
+            run.task.step.permits.expire(tracked.worker)
+        self._ends.lose(tracked, run)
         self._ends.settle_all()
 
-    async def _stop(self, books: WorkerBooks, run: PlacedRun) -> None:
+    async def _stop(self, tracked: TrackedWorker, run: PlacedRun) -> None:
         """Order a stop until the end is known: its lease is renewed till then.
 
         A run that goes on takes room, and may keep its whole worker closed.
         """
-        while books.has(run) and not books.session.over:
-            answer = await books.session.stop(run.key)
+        while tracked.has(run) and not tracked.session.over:
+            answer = await tracked.session.stop(run.key)
             if answer.result is OrderResult.TAKEN:
                 # The worker will not start the run any more; what runs takes
                 # room until it has stopped.
@@ -381,58 +383,60 @@
                 return
             await asyncio.sleep(_STOP_AGAIN)
 
-    def _look_for_trouble(self, books: WorkerBooks) -> None:
-        self._look_for_stalled(books)
-        self._look_for_late_answers(books)
+    def _look_for_trouble(self, tracked: TrackedWorker) -> None:
+        self._look_for_stalled(tracked)
+        self._look_for_late_answers(tracked)
 
-    def _look_for_stalled(self, books: WorkerBooks) -> None:
+    def _look_for_stalled(self, tracked: TrackedWorker) -> None:
         """Close a worker on which runs stand still, and run them elsewhere.
 
         Gangs are left to it: a new start would cost all of their members.
         """
         now = self._state.clock()
-        stalled = [run for run in books.run_by_key.values() if run.stalled(now)]
+        stalled = [
+            run for run in tracked.run_by_key.values() if run.stalled(now)
+        ]
         # What fills stands still while others use all that there is.
         closes = len(stalled) > len(best_effort_runs(stalled))
-        if closes != books.stalled:
+        if closes != tracked.stalled:
             _log.info(
                 'worker stands still' if closes else 'worker moves on',
-                worker=books.worker,
+                worker=tracked.worker,
                 tasks=[run.key.task for run in stalled],
             )
-        books.stalled = closes
+        tracked.stalled = closes
         for run in stalled:
             if run.task is not None and not run.task.step.spec.gang:
-                run.task.step.failed_workers.note_failure(books.worker, now)
-                self.stop(books, run)
+                run.task.step.failed_workers.note_failure(tracked.worker, now)
+                self.stop(tracked, run)
 
-    def _look_for_late_answers(self, books: WorkerBooks) -> None:
+    def _look_for_late_answers(self, tracked: TrackedWorker) -> None:
         """Stop what fills beside tasks whose answers are late."""
-        for run in best_effort_to_evict(books, self._state.clock()):
+        for run in best_effort_to_evict(tracked, self._state.clock()):
             if not run.stopping:
                 _log.info(
                     'stopped for late answers',
                     task=run.key.task,
-                    worker=books.worker,
+                    worker=tracked.worker,
                 )
-                self.stop(books, run)
+                self.stop(tracked, run)
 
-    def _see_active(self, books: WorkerBooks, active: ActiveRun) -> None:
-        run = books.run_by_key.get(active.key)
+    def _see_active(self, tracked: TrackedWorker, active: ActiveRun) -> None:
+        run = tracked.run_by_key.get(active.key)
         if run is None:
-            run = self._earlier.adopt(books, active)
+            run = self._earlier.adopt(tracked, active)
         now = self._state.clock()
         note_progress(run, active.share_done, now)
-        note_answers(run, active.load / _MILLIS, now)
+        note_latency(run, active.load / _MILLIS, now)
         if run.confirmed_at == math.inf:
             run.confirmed_at = now
         task = run.task
         if task is not None and active.checkpoint:
             task.checkpoint = active.checkpoint
-        self._judge.note_outlived(books, run)
-        self._ends.note_active(books, run)
+        self._judge.note_outlived(tracked, run)
+        self._ends.note_active(tracked, run)
         if not self._wanted(run):
-            self.stop(books, run)
+            self.stop(tracked, run)
 
     def _wanted(self, run: PlacedRun) -> bool:
         task = run.task
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -13,11 +13,11 @@
 from orchidrail.shard.tenant_ledger import (
     FindTenant,
     TenantLedger,
-    unknown_tenant,
+    find_no_tenant,
 )
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.unresolved_runs import UnresolvedRuns
-from orchidrail.shard.worker_speed import Paces
+from orchidrail.shard.worker_speed import SpeedEstimator
 from orchidrail.types import (
     Epoch,
     JobId,
@@ -82,7 +82,7 @@
         clock: Callable[[], Seconds],
         wall_clock: Callable[[], Seconds],
         metrics: InstanceMetrics,
-        find_tenant: FindTenant = unknown_tenant,
+        find_tenant: FindTenant = find_no_tenant,
     ) -> None:
         """Start without jobs and workers."""
         self.ledger = TenantLedger(find_tenant, clock)
@@ -95,10 +95,10 @@
         self.began_at = clock()
         self.open_questions = OpenQuestions(clock, metrics)
         self.job_by_id: dict[JobId, Job] = {}
-        self.books_by_worker: dict[WorkerId, WorkerBooks] = {}
+        self.tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
         #: Tasks that an earlier owner placed on a worker not yet heard from.
         self.unresolved_by_worker = UnresolvedRuns(self.ledger)
-        self.paces = Paces()
+        self.speeds = SpeedEstimator()
         #: Set when something may be placed that could not before.
         self.wanted = asyncio.Event()
         self.changed_jobs: set[JobId] = set()
@@ -119,8 +119,8 @@
 
     def lost(self, worker: WorkerId) -> bool:
         """Whether a worker does not answer, or was never met."""
-        books = self.books_by_worker.get(worker)
-        return books is None or not books.session.reachable
+        tracked = self.tracked_by_worker.get(worker)
+        return tracked is None or not tracked.session.reachable
 
     def keep_worker(self, entry: WorkerEntry) -> None:
         """Put a worker into the journal, for the next owner to look for."""
@@ -142,10 +142,10 @@
             return True
         return await self._fence_commit.wait()
 
-    def drop_worker(self, books: WorkerBooks) -> None:
+    def drop_worker(self, tracked: TrackedWorker) -> None:
         """Take a worker out of the journal: its life is over."""
-        self.writer.put(worker_key(books.entry.name), b'')
-        self.paces.forget(books.worker)
+        self.writer.put(worker_key(tracked.entry.name), b'')
+        self.speeds.forget(tracked.worker)
 
     def note_change(self, job: Job) -> None:
         """Have the job's steps looked at again."""
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -20,7 +20,7 @@
 FindTenant = Callable[[TenantId], Tenant | None]
 
 
-class Holding(NamedTuple):
+class QuotaUsage(NamedTuple):
     """What one run takes of its tenant's limit.
 
     It is all that the task asks for, also where part of that is not counted
@@ -35,13 +35,13 @@
     lasting: bool = False
 
 
-def holding_of(task: Task) -> Holding:
+def quota_usage_of(task: Task) -> QuotaUsage:
     """Return what a run of a task takes of its tenant's limit."""
     job, spec = task.step.job, task.step.spec
-    return Holding(job.tenant.name, spec.size, job.urgent, spec.lasting)
+    return QuotaUsage(job.tenant.name, spec.size, job.urgent, spec.lasting)
 
 
-def unknown_tenant(name: TenantId) -> Tenant | None:
+def find_no_tenant(name: TenantId) -> Tenant | None:
     """Know no tenant but from the jobs."""
 
 
@@ -65,14 +65,14 @@
     --------
     >>> ledger = TenantLedger()
     >>> tenant = Tenant(TenantId('stores'), 1, Size(1000, 0))
-    >>> ledger.take(Holding(tenant.name, Size(700, 10)))
+    >>> ledger.add(QuotaUsage(tenant.name, Size(700, 10)))
     >>> ledger.more(tenant, Size(300, 10)), ledger.more(tenant, Size(301, 10))
     (1, 0)
     """
 
     def __init__(
         self,
-        find_tenant: FindTenant = unknown_tenant,
+        find_tenant: FindTenant = find_no_tenant,
         clock: Callable[[], Seconds] = float,
     ) -> None:
         """Start with nothing running."""
@@ -91,7 +91,7 @@
             return tenant
         return self._find_tenant(tenant.name) or tenant
 
-    def take(self, holding: Holding) -> None:
+    def add(self, holding: QuotaUsage) -> None:
         """Count a run."""
         name = holding.tenant
         if not name:
@@ -104,7 +104,7 @@
             urgent = self._urgent_by_tenant[name]
             self._peak_by_tenant[name].note(urgent, self._clock())
 
-    def give_back(self, holding: Holding) -> None:
+    def remove(self, holding: QuotaUsage) -> None:
         """Take that a run which was counted has surely ended."""
         if not holding.tenant:
             return
@@ -130,7 +130,7 @@
         current = self.current(tenant)
         return current.more_within(self.used(tenant.name), size)
 
-    def allow(self, step: StepState, tasks: list[Task]) -> list[Task]:
+    def within_limit(self, step: StepState, tasks: list[Task]) -> list[Task]:
         """Return the tasks that the tenant's limit lets start; gangs whole.
 
         Work that has time leaves of the limit what the tenant's urgent work
@@ -147,7 +147,7 @@
             return tasks if more >= len(tasks) else []
         return tasks[:more]
 
-    def needs_most(self, step: StepState) -> bool:
+    def needs_most_of_limit(self, step: StepState) -> bool:
         """Whether what must start together is over half of its tenant's limit.
 
         It finds room only while little else of its tenant runs, also where the
--- a/orchidrail/shard/tests/fleet_case.py
+++ b/orchidrail/shard/tests/fleet_case.py
@@ -34,7 +34,7 @@
 
 ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
 WORKERS = Topic('workers')
-READ = 0.5
+READ_WAIT = 0.5
 JOB = JobId('0123456789abcdef')
 BAD_ENTRY = b'bad'
 _decode_entry = msgspec.msgpack.Decoder(WorkerEntry).decode
@@ -53,12 +53,12 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def list_worker(self, listed: bool, name: str = 'w-1') -> None:
+    async def write_entry(self, listed: bool, name: str = 'w-1') -> None:
         entry = make_entry(name)
         value = encode(entry) if listed else b''
         await self.store.append(WORKERS, [KeyedRecord(entry.worker, value)])
 
-    async def take(
+    async def take_over(
         self,
         epoch: int,
         workers: FakeWorker | None = None,
@@ -71,34 +71,36 @@
         )
         return ShardOwner(writer, ports)
 
-    def play(self, scene: Callable[[ShardOwner], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[ShardOwner], Awaitable[None]]
+    ) -> None:
         """Run a scene beside the first owner, which has one worker."""
 
         async def run() -> None:
-            await self.list_worker(listed=True)
-            owner = await self.take(0)
+            await self.write_entry(listed=True)
+            owner = await self.take_over(0)
             running = asyncio.create_task(owner.run())
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             try:
-                await scene(owner)
+                await scenario(owner)
             finally:
                 running.cancel()
 
         self.run_async(run())
 
-    async def list_life(self, born: int | None) -> None:
+    async def write_incarnation_entry(self, born: int | None) -> None:
         """Write the entry of a life of the one worker."""
         entry = msgspec.structs.replace(make_entry(), born=born)
         await self.store.append(
             WORKERS, [KeyedRecord(entry.name, encode(entry))]
         )
-        await asyncio.sleep(READ)
+        await asyncio.sleep(READ_WAIT)
 
     async def submit(self, owner: ShardOwner) -> Task:
         spec = JobSpec('text', (StepSpec(1),))
         queue = make_job(StepSpec(1)).queue
         self.assertTrue(await owner.submit(JOB, queue, spec))
-        await asyncio.sleep(READ)
+        await asyncio.sleep(READ_WAIT)
         task = owner.state.job_by_id[JOB].find_task(0, 0, 0)
         assert task is not None
         return task
--- a/orchidrail/shard/tests/test_advice_dispatcher.py
+++ b/orchidrail/shard/tests/test_advice_dispatcher.py
@@ -52,7 +52,7 @@
         return asking
 
     def test_one_call_at_a_time_in_a_lane_most_urgent_next(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(1)
             await self._put(desk, 'first', _SHORT)
             await self._put(desk, 'later', _SHORT, rank=2)
@@ -63,12 +63,12 @@
             self.assertEqual('urgent', self.asked[-1][1])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_question_that_has_waited_for_long_goes_first(self) -> None:
         """Late work is the least pressing, and others keep coming."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             now: Seconds = 0
             desk = AdviceDesk(self._ask, lambda: now)
             desk.use_lanes([InstanceId('lane')])
@@ -81,10 +81,10 @@
             self.assertEqual('late', self.asked[-1][1])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_long_calls_leave_a_lane_for_short_ones(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(3)
             for key in ('a', 'b', 'c'):
                 await self._put(desk, key, _LONG)
@@ -93,14 +93,14 @@
             self.assertNotIn('c', [key for _, key in self.asked])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_long_call_that_is_late_takes_a_lane_kept_for_short_ones(
         self,
     ) -> None:
         """Guards against one of two lanes standing idle beside late calls."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             now: Seconds = 0
             desk = AdviceDesk(self._ask, lambda: now)
             desk.use_lanes([InstanceId('lane-1'), InstanceId('lane-2')])
@@ -112,14 +112,14 @@
             self.assertEqual(['a', 'b'], [key for _, key in self.asked])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_short_calls_do_not_keep_the_only_lane_from_long_ones(
         self,
     ) -> None:
         """Guards against long calls that wait while short ones come."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             now: Seconds = 0
             desk = AdviceDesk(self._ask, lambda: now)
             desk.use_lanes([InstanceId('lane')])
@@ -132,10 +132,10 @@
             self.assertEqual('long', self.asked[-1][1])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_question_without_answer_goes_to_another_lane(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(2)
             asking = await self._put(desk, 'a', _SHORT)
             self.answers['a'].set_result(None)
@@ -148,14 +148,14 @@
             self.assertEqual({'w': 't'}, advice.ticket_by_worker)
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_short_calls_come_first_to_as_many_lanes_as_they_need(
         self,
     ) -> None:
         """A burst of urgent tasks beside wide steps with long questions."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(10)
             for number in range(3):
                 await self._put(desk, f'short-{number}', _SHORT)
@@ -167,24 +167,24 @@
             self.assertEqual(7, len(asked))
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_lanes_that_no_short_call_needs_are_used(self) -> None:
         """More long questions than lanes, and hardly any short ones."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(10)
             for number in range(20):
                 await self._put(desk, f'long-{number}', _LONG)
             self.assertEqual(9, len(self.asked))
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_question_is_not_put_off_for_good(self) -> None:
         """More questions than lanes, and more pressing ones keep coming."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(1)
             await self._put(desk, 'first', _SHORT)
             await self._put(desk, 'late', _SHORT, rank=9)
@@ -197,10 +197,10 @@
             self.assertEqual('urgent-0', self.asked[1][1])
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_question_that_is_no_longer_needed_takes_no_lane(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(1)
             await self._put(desk, 'first', _SHORT)
             needed = [True]
@@ -213,12 +213,12 @@
             self.assertEqual(1, len(self.asked))
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_call_that_is_late_is_made_by_another_lane_too(self) -> None:
         """The connection to a lane went silent for good; others work."""
 
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(2)
             asking = await self._put(desk, 'urgent', _SHORT)
             silent = self.answers['urgent']
@@ -233,10 +233,10 @@
             self.assertEqual(2, len(self.asked))
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_call_that_fails_beside_another_waits_for_that(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             desk = self._desk(2)
             asking = await self._put(desk, 'urgent', _SHORT)
             silent = self.answers['urgent']
@@ -249,4 +249,4 @@
             self.assertEqual(given, await asyncio.wait_for(asking, 0.1))
             desk.close()
 
-        self.run_async(scene())
+        self.run_async(scenario())
--- a/orchidrail/shard/tests/test_blocked_gangs.py
+++ b/orchidrail/shard/tests/test_blocked_gangs.py
@@ -24,7 +24,7 @@
         place_all(step)
         first, *others = step.tasks
         for task in others:
-            task.worker = shard.books.worker
+            task.worker = shard.tracked.worker
         step.job.end_run(first, first.run, RunEnding.STOPPED, '')
         return step
 
@@ -39,9 +39,9 @@
         return [dict(line) for line in lines]
 
     def test_a_gang_is_told_with_the_worker_that_holds_it_back(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = self.make_gang(shard)
-            session = shard.books.session
+            session = shard.tracked.session
             session.reachable = False
             now = shard.state.clock()
             shard.state.began_at = now - 2 * _SILENT
@@ -54,12 +54,12 @@
             self.assertEqual([session.worker], told['lost'])
             self.assertAlmostEqual(_SILENT, told['unheard'], delta=0.5)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_is_told_every_four_seconds(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = self.make_gang(shard)
-            shard.books.session.reachable = False
+            shard.tracked.session.reachable = False
             gangs = BlockedGangs(shard.state)
             began = shard.state.clock()
             counts = []
@@ -68,27 +68,27 @@
                 counts.append(len(self.told(gangs, step)))
             self.assertEqual([1, 0, 0, 1], counts)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_whose_workers_answer_is_not_told(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = self.make_gang(shard)
             self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_tasks_that_start_alone_are_not_held_back(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = self.make_gang(shard, gang=False)
-            shard.books.session.reachable = False
+            shard.tracked.session.reachable = False
             self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_at_work_is_not_held_back(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1, gang=True)))
             step.job.place(step.tasks[0], RunNumber(1), WorkerId('unmet'))
             self.assertEqual([], self.told(BlockedGangs(shard.state), step))
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -6,7 +6,7 @@
 
 from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, TaskKey, WorkerId
 from orchidrail.work.model import AdviceCost, StepSpec
@@ -22,10 +22,10 @@
 _QUESTION = 1
 
 
-def fill(books: WorkerBooks, cores: int) -> None:
+def fill(tracked: TrackedWorker, cores: int) -> None:
     """Take room of a worker."""
-    key = RunKey(TaskKey('j.0.0.0'), RunNumber(len(books.run_by_key) + 1))
-    books.charge(PlacedRun(key, Size(cores * 1000), None, 0), 'j.0.0')
+    key = RunKey(TaskKey('j.0.0.0'), RunNumber(len(tracked.run_by_key) + 1))
+    tracked.allocate(PlacedRun(key, Size(cores * 1000), None, 0), 'j.0.0')
 
 
 def advised(spec: StepSpec, *good: str) -> StepState:
@@ -48,39 +48,39 @@
     return step
 
 
-def _names(found: list[WorkerBooks]) -> list[str]:
-    return [books.worker for books in found]
+def _names(found: list[TrackedWorker]) -> list[str]:
+    return [tracked.worker for tracked in found]
 
 
 def _usable(workers: CandidateWorkers, step: StepState) -> list[str]:
     """Return where the tasks of a step go now."""
     found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
-    return [placement.books.worker for placement in chosen]
+    return [placement.tracked.worker for placement in chosen]
 
 
 class OpenWorkersTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.books = [make_books(name, cores=8) for name in 'abcd']
-        for cores, books in enumerate(self.books):
-            fill(books, 2 * cores)
+        self.tracked = [make_books(name, cores=8) for name in 'abcd']
+        for cores, tracked in enumerate(self.tracked):
+            fill(tracked, 2 * cores)
 
     def test_workers_with_too_little_room_are_passed_over(self) -> None:
-        workers = CandidateWorkers(self.books)
+        workers = CandidateWorkers(self.tracked)
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(
             ['c', 'b', 'a'], _names(workers.with_free_capacity(step))
         )
 
     def test_room_that_went_in_the_same_pass_counts(self) -> None:
-        workers = CandidateWorkers(self.books)
-        fill(self.books[0], 8)
+        workers = CandidateWorkers(self.tracked)
+        fill(self.tracked[0], 8)
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
 
     def test_workers_that_are_kept_are_passed_over(self) -> None:
-        workers = CandidateWorkers(self.books)
+        workers = CandidateWorkers(self.tracked)
         workers.reserve({WorkerId('b')})
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(['c', 'a'], _names(workers.with_free_capacity(step)))
@@ -90,16 +90,16 @@
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         task = step.tasks[0]
         task.run, task.waits_since = RunNumber(1), 10
-        every = {books.worker for books in self.books}
+        every = {tracked.worker for tracked in self.tracked}
         for now, expected in ((11, []), (13, ['c', 'b', 'a'])):
-            workers = CandidateWorkers(self.books, now)
+            workers = CandidateWorkers(self.tracked, now)
             workers.reserve(every)
             self.assertEqual(expected, _names(workers.with_free_capacity(step)))
 
     def test_only_permitted_workers_are_found_where_advice_is_needed(
         self,
     ) -> None:
-        workers = CandidateWorkers(self.books)
+        workers = CandidateWorkers(self.tracked)
         step = advised(StepSpec(1, Size(4000)), 'a', 'd')
         self.assertEqual(['a'], _names(workers.with_free_capacity(step)))
         self.assertEqual(['b', 'c'], _names(workers.unknown(step)))
@@ -110,9 +110,9 @@
     ) -> None:
         step = make_step(StepSpec(1, Size(4000)))
         step.failed_workers.note_failure(WorkerId('a'), 0)
-        workers = CandidateWorkers(self.books)
+        workers = CandidateWorkers(self.tracked)
         self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
-        alone = CandidateWorkers(self.books[:1])
+        alone = CandidateWorkers(self.tracked[:1])
         self.assertEqual(['a'], _names(alone.with_free_capacity(step)))
 
     def test_a_worker_that_failed_a_step_is_taken_if_no_other_has_room(
@@ -126,25 +126,25 @@
         the step as it may. A worker is avoided for less than work may stand
         still, a question for its ticket included, also after several failures.
         """
-        workers = CandidateWorkers(self.books, _MAY_STAND_STILL - _QUESTION)
+        workers = CandidateWorkers(self.tracked, _MAY_STAND_STILL - _QUESTION)
         full = advised(StepSpec(1, Size(4000)), 'a', 'd')
         for _ in range(3):
             full.failed_workers.note_failure(WorkerId('a'), 0)
         self.assertEqual(['a'], _usable(workers, full))
         held = make_step(StepSpec(4, Size(1000), most_per_worker=1))
-        for books in self.books[1:]:
-            books.count_by_step[held.key] = 1
+        for tracked in self.tracked[1:]:
+            tracked.count_by_step[held.key] = 1
         held.failed_workers.note_failure(WorkerId('a'), 0)
         self.assertEqual(['a'], _usable(workers, held))
 
     def test_the_label_that_a_step_needs_is_looked_at(self) -> None:
-        workers = CandidateWorkers(self.books)
+        workers = CandidateWorkers(self.tracked)
         step = make_step(StepSpec(1, Size(1000), label='kind-b'))
         self.assertEqual([], workers.with_free_capacity(step))
         self.assertFalse(workers.has_permitted(step))
 
     def test_the_largest_worker_tells_how_many_copies_fit(self) -> None:
         service = make_job(StepSpec(1)).queue.service
-        workers = CandidateWorkers([*self.books, make_books('e', cores=32)])
+        workers = CandidateWorkers([*self.tracked, make_books('e', cores=32)])
         copies = workers.max_copies(StepSpec(1, Size(10_000)), service)
         self.assertEqual(3, copies)
--- a/orchidrail/shard/tests/test_colocation.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -10,7 +10,7 @@
 from orchidrail.shard.tests.test_candidate_workers import advised
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import JobId, RunNumber, Seconds
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -33,13 +33,13 @@
 _IN_TIME, _LATE = 80, 120
 
 
-def _holding(spec: StepSpec) -> WorkerBooks:
+def _holding(spec: StepSpec) -> TrackedWorker:
     """Return the books of a worker that runs a task."""
-    books = make_books('w')
+    tracked = make_books('w')
     task = make_step(spec).tasks[0]
     key = RunKey(task.key, RunNumber(1))
-    books.charge(PlacedRun(key, spec.charged, task, 0), task.step.key)
-    return books
+    tracked.allocate(PlacedRun(key, spec.charged, task, 0), task.step.key)
+    return tracked
 
 
 def _waiting(spec: StepSpec, waited: Seconds) -> StepState:
@@ -52,19 +52,21 @@
     def with_free_capacity(
         self,
         spec: StepSpec,
-        *every: WorkerBooks,
+        *every: TrackedWorker,
         waited: Seconds = _LONG,
     ) -> list[str]:
         """Return where a task goes that has waited for some time."""
         workers = CandidateWorkers(list(every), _NOW)
         found = workers.with_free_capacity(_waiting(spec, waited))
-        return [books.worker for books in found]
+        return [tracked.worker for tracked in found]
 
     def test_both_kinds_are_kept_apart_at_first(self) -> None:
         for spec, other in ((_SERVING, _FILLING), (_FILLING, _SERVING)):
-            books = _holding(other)
-            self.assertEqual([], self.with_free_capacity(spec, books, waited=0))
-            self.assertEqual(['w'], self.with_free_capacity(spec, books))
+            tracked = _holding(other)
+            self.assertEqual(
+                [], self.with_free_capacity(spec, tracked, waited=0)
+            )
+            self.assertEqual(['w'], self.with_free_capacity(spec, tracked))
 
     def test_they_stay_apart_while_another_worker_has_room(self) -> None:
         found = self.with_free_capacity(
@@ -99,9 +101,9 @@
         )
 
     def test_nothing_is_put_beside_where_answers_were_late(self) -> None:
-        books = _holding(_SERVING)
-        books.parted_until = _NOW + 1
-        self.assertEqual([], self.with_free_capacity(_FILLING, books))
+        tracked = _holding(_SERVING)
+        tracked.best_effort_barred_until = _NOW + 1
+        self.assertEqual([], self.with_free_capacity(_FILLING, tracked))
 
     def test_a_step_that_waits_too_long_asks_about_such_workers(self) -> None:
         workers = CandidateWorkers([_holding(_SERVING)], _NOW)
@@ -130,38 +132,38 @@
     ) -> None:
         """List the tail of the answers' times, a while between each two."""
         for tail in tails:
-            shard.books.run_by_key[serving].late_since -= 1
+            shard.tracked.run_by_key[serving].late_since -= 1
             listed = ActiveRun(serving, '', 100, tail)
             shard.worker.active[serving] = listed
-            await shard.look()
+            await shard.poll()
             await asyncio.sleep(_SOON)
 
     def test_what_fills_is_stopped_if_answers_stay_late(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             serving, filling = await self.start_both(shard)
             await self.answer_in(shard, serving, _IN_TIME, _LATE)
             self.assertEqual([], shard.worker.stops)
             await self.answer_in(shard, serving, _LATE)
             self.assertEqual([filling], shard.worker.stops)
-            self.assertGreater(shard.books.parted_until, 0)
+            self.assertGreater(shard.tracked.best_effort_barred_until, 0)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_answers_that_are_in_time_again_stop_nothing(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             serving, _ = await self.start_both(shard)
             await self.answer_in(shard, serving, _LATE, _IN_TIME, _LATE)
             self.assertEqual([], shard.worker.stops)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_what_serves_alone_is_not_stopped(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.launch(shard.add(make_job(_SERVING)))
             await asyncio.sleep(_SOON)
             serving = shard.worker.starts[0].key
             await self.answer_in(shard, serving, _LATE, _LATE, _LATE)
             self.assertEqual([], shard.worker.stops)
-            self.assertEqual(0, shard.books.parted_until)
+            self.assertEqual(0, shard.tracked.best_effort_barred_until)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -16,13 +16,13 @@
 
 from orchidrail.shard.crash_evidence import (
     CrashWatch,
-    LifeEnd,
+    IncarnationEnd,
     LostRun,
     suspicion_of,
 )
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import PROVEN_AFTER, PlacedRun
+from orchidrail.shard.tracked_worker import STARTUP_CRASH_WINDOW, PlacedRun
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.job import GIVEN_UP_AT, Job
@@ -131,7 +131,7 @@
         first = LostRun(task, RunNumber(1), young=True, trial=False)
         trial = LostRun(task, RunNumber(2), young=True, trial=True)
         added = [
-            suspicion_of(lost, LifeEnd.CRASHED, calm=True)
+            suspicion_of(lost, IncarnationEnd.CRASHED, calm=True)
             for lost in (first, trial, trial)
         ]
         self.assertLess(sum(added[:2]), GIVEN_UP_AT)
@@ -140,7 +140,11 @@
     def test_a_task_that_crashes_workers_at_once_is_soon_given_up(self) -> None:
         """Whatever else goes on, users allow two starts after the third."""
         task = make_step(StepSpec(1)).tasks[0]
-        unannounced = (LifeEnd.CRASHED, LifeEnd.LEASE_ENDED, LifeEnd.NEVER_MET)
+        unannounced = (
+            IncarnationEnd.CRASHED,
+            IncarnationEnd.LEASE_EXPIRED,
+            IncarnationEnd.NEVER_REACHED,
+        )
         for end, trial, calm in itertools.product(
             unannounced,
             (True, False),
@@ -153,7 +157,9 @@
     def test_work_of_seconds_is_not_blamed_while_many_crash(self) -> None:
         task = make_step(StepSpec(1)).tasks[0]
         lost = LostRun(task, RunNumber(1), young=False, trial=False)
-        self.assertEqual(0, suspicion_of(lost, LifeEnd.CRASHED, calm=False))
+        self.assertEqual(
+            0, suspicion_of(lost, IncarnationEnd.CRASHED, calm=False)
+        )
 
     def test_crashes_under_a_trial_do_not_make_times_unquiet(self) -> None:
         watch = CrashWatch()
@@ -161,7 +167,7 @@
         on_trial = make_books('w-trial')
         task = make_step(StepSpec(1)).tasks[0]
         key = RunKey(task.key, RunNumber(1))
-        on_trial.charge(PlacedRun(key, Size(1), task, 0, trial=True), 'step')
+        on_trial.allocate(PlacedRun(key, Size(1), task, 0, trial=True), 'step')
         for _ in range(3):
             watch.note_end(on_trial, now=1)
         self.assertTrue(watch.calm(every, now=1))
@@ -178,9 +184,9 @@
         busy, idle = make_books('a'), make_books('b')
         other = make_step(StepSpec(1, size=Size(1000))).tasks[0]
         run = PlacedRun(RunKey(other.key, RunNumber(1)), Size(1000), other, 0)
-        busy.charge(run, 'other')
+        busy.allocate(run, 'other')
         chosen = choose_workers(step, step.startable(), [busy, idle])
-        self.assertEqual(['b'], [one.books.worker for one in chosen])
+        self.assertEqual(['b'], [one.tracked.worker for one in chosen])
 
     def test_it_does_not_go_where_a_worker_has_just_crashed(self) -> None:
         """Such a worker is empty, and may go down again by itself."""
@@ -189,7 +195,7 @@
         restarted, steady = make_books('a'), make_books('b')
         restarted.crashed_at = 50
         chosen = choose_workers(step, step.startable(), [restarted, steady])
-        self.assertEqual(['b'], [one.books.worker for one in chosen])
+        self.assertEqual(['b'], [one.tracked.worker for one in chosen])
 
     def test_suspects_and_sound_tasks_share_no_worker(self) -> None:
         step = make_step(StepSpec(4, size=Size(1000)))
@@ -198,56 +204,56 @@
         every = [make_books(name) for name in 'abc']
         chosen = choose_workers(step, step.startable(), every)
         by_worker: dict[WorkerId, list[Task]] = {}
-        for task, books in chosen:
-            by_worker.setdefault(books.worker, []).append(task)
+        for task, tracked in chosen:
+            by_worker.setdefault(tracked.worker, []).append(task)
         suspects = [tasks for tasks in by_worker.values() if tasks[0].suspected]
         self.assertEqual([1, 1], [len(tasks) for tasks in suspects])
         self.assertEqual(4, len(chosen))
 
     def test_a_worker_is_closed_for_the_time_of_a_trial(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             await _started(shard, suspicion=2)
-            await shard.look()
-            self.assertFalse(shard.books.open(shard.state.clock()))
-            self.assertEqual(0, shard.books.copies('other', Size(1), 0))
-            await asyncio.sleep(PROVEN_AFTER)
-            await shard.look()
-            self.assertTrue(shard.books.open(shard.state.clock()))
+            await shard.poll()
+            self.assertFalse(shard.tracked.accepts_work(shard.state.clock()))
+            self.assertEqual(0, shard.tracked.slots_for('other', Size(1), 0))
+            await asyncio.sleep(STARTUP_CRASH_WINDOW)
+            await shard.poll()
+            self.assertTrue(shard.tracked.accepts_work(shard.state.clock()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_trial_that_ends_otherwise_frees_the_worker(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             await _started(shard, suspicion=2)
             shard.worker.end(shard.worker.starts[0].key, RunEnding.DONE)
-            await shard.look()
-            self.assertTrue(shard.books.open(shard.state.clock()))
+            await shard.poll()
+            self.assertTrue(shard.tracked.accepts_work(shard.state.clock()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 class LostWorkerTest(ShardTestCase):
     def test_a_crash_at_the_start_is_held_against_the_task(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard)
             await shard.crash()
             self.assertTrue(step.tasks[0].suspected)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_so_is_one_that_took_the_answer_with_it(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             step = await _started(shard)
             await shard.crash()
             self.assertTrue(step.tasks[0].suspected)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_so_is_one_that_kept_its_gang_from_starting(self) -> None:
         """The other member's start was not sent: its connection had ended."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, gang=True)))
             take = shard.worker.start
 
@@ -262,87 +268,87 @@
             await shard.crash()
             self.assertEqual([1, 0], [task.crashes for task in step.tasks])
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_start_that_another_life_refused_is_not(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.OTHER_LIFE
             step = await _started(shard)
-            self.assertTrue(shard.books.session.over)
+            self.assertTrue(shard.tracked.session.over)
             self.assertEqual(0, step.tasks[0].crashes)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_nor_is_the_end_of_a_worker_that_leaves(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard)
-            shard.books.entry = msgspec.structs.replace(
-                shard.books.entry,
+            shard.tracked.entry = msgspec.structs.replace(
+                shard.tracked.entry,
                 state=WorkerState.DRAINING,
             )
             await shard.crash()
             self.assertEqual(0, step.tasks[0].crashes)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_that_was_cut_off_clears_its_tasks(self) -> None:
         """Its leases ended; then the same life is heard again."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard)
-            worker = shard.books.worker
-            shard.runs.give_up_worker(worker, LifeEnd.LEASE_ENDED)
+            worker = shard.tracked.worker
+            shard.runs.give_up_worker(worker, IncarnationEnd.LEASE_EXPIRED)
             self.assertEqual(1, step.tasks[0].crashes)
-            await shard.look()
+            await shard.poll()
             self.assertEqual(0, step.tasks[0].crashes)
             self.assertFalse(step.tasks[0].suspected)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_that_crashed_before_tells_little(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard, suspicion=2)
-            shard.books.crashed_at = shard.state.clock()
+            shard.tracked.crashed_at = shard.state.clock()
             await shard.crash()
             self.assertLess(step.tasks[0].suspicion, GIVEN_UP_AT)
-            worker = shard.books.worker
-            address = shard.books.entry.address
+            worker = shard.tracked.worker
+            address = shard.tracked.entry.address
             self.assertEqual(
-                shard.state.books_by_worker[worker].crashed_at,
+                shard.state.tracked_by_worker[worker].crashed_at,
                 shard.runs.last_crash_at(address),
             )
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_crash_in_the_middle_of_a_take_over_counts(self) -> None:
         """The worker that an earlier owner gave the task to is never met."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             task = shard.add(make_job(StepSpec(1))).tasks[0]
             gone = WorkerId('gone')
             task.step.job.place(task, RunNumber(1), gone)
             shard.state.unresolved_by_worker[gone] = [(task, task.run)]
-            shard.runs.give_up_worker(gone, LifeEnd.NEVER_MET)
+            shard.runs.give_up_worker(gone, IncarnationEnd.NEVER_REACHED)
             self.assertEqual(1, task.crashes)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_what_is_given_up_says_why(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard, suspicion=GIVEN_UP_AT - 2)
             await shard.crash()
             self.assertIs(JobPhase.FAILED, step.job.phase)
             self.assertIs(FailureCause.CRASHED_WORKERS, step.job.cause)
             self.assertNotIn(step.job.job_id, shard.state.job_by_id)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_task_that_worked_for_long_is_cleared(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = await _started(shard, StepSpec(1, lasting=True), suspicion=3)
-            run = next(iter(shard.books.run_by_key.values()))
+            run = next(iter(shard.tracked.run_by_key.values()))
             run.confirmed_at -= 60
-            await shard.look()
+            await shard.poll()
             self.assertEqual(0, step.tasks[0].suspicion)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_eligibility.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -24,14 +24,14 @@
 class ObstaclesTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.books = [make_books(name, cores=8) for name in 'abcd']
+        self.tracked = [make_books(name, cores=8) for name in 'abcd']
 
     def survey(
         self,
         step: StepState,
         reserved: frozenset[WorkerId] = _NOBODY,
     ) -> EligibilitySummary:
-        return FleetEligibility(self.books, reserved, _NOW).of(step)
+        return FleetEligibility(self.tracked, reserved, _NOW).of(step)
 
     def counts(
         self,
@@ -42,14 +42,14 @@
 
     def open_all(self) -> None:
         """Let all workers be met."""
-        for books in self.books:
-            books.session.reachable = True
+        for tracked in self.tracked:
+            tracked.session.reachable = True
 
     def test_each_worker_is_told_by_what_keeps_it(self) -> None:
         self.open_all()
         step = advised(StepSpec(4, _TASK, most_per_worker=1), 'a', 'b', 'c')
-        fill(self.books[0], 6)
-        self.books[1].count_by_step[step.key] = 1
+        fill(self.tracked[0], 6)
+        self.tracked[1].count_by_step[step.key] = 1
         step.failed_workers.note_failure(WorkerId('c'), _NOW)
         expected = {
             IneligibleReason.ROOM: 1,
@@ -66,8 +66,8 @@
 
     def test_a_closed_and_a_kept_worker_are_told(self) -> None:
         self.open_all()
-        self.books[2].listed = False
-        self.books[0].rest(now=0, seconds=float('inf'))
+        self.tracked[2].listed = False
+        self.tracked[0].quarantine(now=0, seconds=float('inf'))
         step = make_step(StepSpec(1, _TASK))
         found = self.counts(step, frozenset((WorkerId('b'),)))
         expected = {
@@ -88,8 +88,8 @@
     def test_room_that_is_held_for_another_step_is_told_as_held(self) -> None:
         self.open_all()
         step = make_step(StepSpec(1, _TASK))
-        self.books[0].hold('other', Size(8000))
-        fill(self.books[1], 8)
+        self.tracked[0].hold('other', Size(8000))
+        fill(self.tracked[1], 8)
         expected = {
             IneligibleReason.HELD: 1,
             IneligibleReason.ROOM: 1,
@@ -102,14 +102,14 @@
         self.open_all()
         step = advised(StepSpec(1, _TASK), 'a')
         step.permits.expire(WorkerId('a'))
-        self.books[0].hold(step.key, Size(8000))
+        self.tracked[0].hold(step.key, Size(8000))
         self.assertEqual(1, self.counts(step)[IneligibleReason.TICKET])
 
     def test_permitted_workers_with_room_are_named_by_name(self) -> None:
         self.open_all()
         step = advised(StepSpec(1, _TASK), 'a', 'b', 'd')
-        self.books.reverse()
-        by_name = {books.worker: books for books in self.books}
+        self.tracked.reverse()
+        by_name = {tracked.worker: tracked for tracked in self.tracked}
         by_name[WorkerId('a')].listed = False
         fill(by_name[WorkerId('b')], 6)
         step.failed_workers.note_failure(WorkerId('d'), _NOW)
@@ -120,8 +120,8 @@
 
     def test_a_closed_worker_that_is_full_is_not_idle(self) -> None:
         step = make_step(StepSpec(1, _TASK))
-        for books in self.books[1:]:
-            fill(books, 6)
+        for tracked in self.tracked[1:]:
+            fill(tracked, 6)
         idle = self.survey(step).reason_by_idle_worker
         self.assertEqual({'a': IneligibleReason.CLOSED}, idle)
 
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -10,11 +10,11 @@
 from orchidrail.shard.owner import ShardOwner
 from orchidrail.shard.tests.fleet_case import (
     JOB,
-    READ,
+    READ_WAIT,
     WORKERS,
     FleetTestCase,
 )
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.store import KeyedRecord
 from orchidrail.types import (
     Seconds,
@@ -85,111 +85,113 @@
     def test_a_worker_whose_entry_lapsed_may_run_what_nobody_knows(
         self,
     ) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            await self.list_worker(listed=False)
-            following = await self.take(1)
+        async def scenario(owner: ShardOwner) -> None:
+            await self.write_entry(listed=False)
+            following = await self.take_over(1)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(0.05)
-            self.assertIn(make_entry().worker, following.state.books_by_worker)
+            self.assertIn(
+                make_entry().worker, following.state.tracked_by_worker
+            )
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_that_is_silent_holds_up_only_what_it_was_given(
         self,
     ) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             owner.runs.close()
             spec = JobSpec('text', (StepSpec(1),))
             submitting = owner.submit(JOB, make_job(StepSpec(1)).queue, spec)
             self.assertTrue(await submitting)
-            await self.list_worker(listed=True, name=_DEAF)
+            await self.write_entry(listed=True, name=_DEAF)
             workers = _PartlyDeaf()
-            following = await self.take(1, workers)
+            following = await self.take_over(1, workers)
             running = asyncio.create_task(following.run())
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             started = {order.key.task for order in workers.starts}
             self.assertEqual({f'{JOB}.0.0.0'}, started)
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_crash_that_an_earlier_owner_did_not_see_counts(self) -> None:
         """Two owners in a row find that the worker of a task has crashed."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             spec = JobSpec('text', (StepSpec(1),))
             queue = make_job(StepSpec(1)).queue
             self.assertTrue(await owner.submit(JOB, queue, spec))
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             crashed = ['w-1']
             for epoch in (1, 2):
-                await self.list_worker(listed=True, name=f'w-1{epoch}')
-                following = await self.take(epoch, _OtherLives(*crashed))
+                await self.write_entry(listed=True, name=f'w-1{epoch}')
+                following = await self.take_over(epoch, _OtherLives(*crashed))
                 running = asyncio.create_task(following.run())
-                await asyncio.sleep(2 * READ)
+                await asyncio.sleep(2 * READ_WAIT)
                 task = following.state.job_by_id[JOB].find_task(0, 0, 0)
                 assert task is not None
                 self.assertEqual(epoch, task.crashes)
                 crashed.append(task.worker)
                 running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    async def _drain(self, owner: ShardOwner) -> WorkerBooks:
+    async def _drain(self, owner: ShardOwner) -> TrackedWorker:
         """Have the worker say that it leaves, and then answer no more."""
         entry = make_entry()
         draining = msgspec.structs.replace(entry, state=WorkerState.DRAINING)
         record = KeyedRecord(entry.worker, encode(draining))
         await self.store.append(WORKERS, [record])
-        await asyncio.sleep(READ)
+        await asyncio.sleep(READ_WAIT)
         workers = owner._ports.worker_calls
         assert isinstance(workers, FakeWorker)
         workers.hold_result = OrderResult.UNKNOWN
-        await asyncio.sleep(READ)
-        books = owner.state.books_by_worker[entry.worker]
-        self.assertFalse(books.session.reachable)
-        return books
+        await asyncio.sleep(READ_WAIT)
+        tracked = owner.state.tracked_by_worker[entry.worker]
+        self.assertFalse(tracked.session.reachable)
+        return tracked
 
     def test_a_worker_that_said_so_has_left_when_its_entry_goes(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            books = await self._drain(owner)
-            await self.list_worker(listed=False)
-            await asyncio.sleep(READ)
-            self.assertTrue(books.session.over)
-            self.assertNotIn(books.worker, owner.state.books_by_worker)
+        async def scenario(owner: ShardOwner) -> None:
+            tracked = await self._drain(owner)
+            await self.write_entry(listed=False)
+            await asyncio.sleep(READ_WAIT)
+            self.assertTrue(tracked.session.over)
+            self.assertNotIn(tracked.worker, owner.state.tracked_by_worker)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_whose_entry_lapsed_may_run_on_while_it_drains(
         self,
     ) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            books = await self._drain(owner)
+        async def scenario(owner: ShardOwner) -> None:
+            tracked = await self._drain(owner)
             written_at = owner._fleet._written_at_by_name
             owner._fleet._gap_ended_at -= 10
-            written_at[books.worker] -= 3
-            await self.list_worker(listed=False)
-            await asyncio.sleep(READ)
-            self.assertFalse(books.session.over)
+            written_at[tracked.worker] -= 3
+            await self.write_entry(listed=False)
+            await asyncio.sleep(READ_WAIT)
+            self.assertFalse(tracked.session.over)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_entries_that_go_while_the_store_was_away_tell_nothing(
         self,
     ) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            books = await self._drain(owner)
+        async def scenario(owner: ShardOwner) -> None:
+            tracked = await self._drain(owner)
             owner._fleet._read_at -= 1.5
-            await self.list_worker(listed=False)
-            await asyncio.sleep(READ)
-            self.assertFalse(books.session.over)
+            await self.write_entry(listed=False)
+            await asyncio.sleep(READ_WAIT)
+            self.assertFalse(tracked.session.over)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_session_that_fails_goes_on(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            books = owner.state.books_by_worker[make_entry().worker]
+        async def scenario(owner: ShardOwner) -> None:
+            tracked = owner.state.tracked_by_worker[make_entry().worker]
             looks: list[Seconds] = []
 
             async def fail_once(wait: Seconds) -> None:
@@ -198,77 +200,77 @@
                     raise ValueError('not understood')
                 await asyncio.sleep(0.05)
 
-            books.session._look_once = fail_once  # type: ignore[method-assign]
+            tracked.session._look_once = fail_once  # type: ignore[method-assign]
             await asyncio.sleep(1)
             self.assertGreater(len(looks), 2)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_workers_are_looked_at_beside_looks_that_may_be_silent(
         self,
     ) -> None:
         """All connections went silent: the look that waits tells nothing."""
 
-        async def scene(owner: ShardOwner) -> None:
-            books = owner.state.books_by_worker[make_entry().worker]
+        async def scenario(owner: ShardOwner) -> None:
+            tracked = owner.state.tracked_by_worker[make_entry().worker]
             looks: list[Seconds] = []
 
             async def hang(wait: Seconds) -> None:
                 looks.append(wait)
-                await asyncio.sleep(2 * READ)
+                await asyncio.sleep(2 * READ_WAIT)
 
-            books.session._look_once = hang  # type: ignore[method-assign]
-            await asyncio.sleep(READ / 2)
+            tracked.session._look_once = hang  # type: ignore[method-assign]
+            await asyncio.sleep(READ_WAIT / 2)
             self.assertEqual(1, len(looks))
             owner.doubt_connections()
-            await asyncio.sleep(READ / 10)
+            await asyncio.sleep(READ_WAIT / 10)
             self.assertEqual(0, looks[-1])
             self.assertEqual(2, len(looks))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_whose_entry_is_gone_gets_no_new_work(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             owner._fleet._settled_at = 0
-            books = owner.state.books_by_worker[make_entry().worker]
-            self.assertTrue(books.open(time.monotonic()))
-            await self.list_worker(listed=False)
-            await asyncio.sleep(READ)
-            self.assertFalse(books.open(time.monotonic()))
-            await self.list_worker(listed=True)
-            await asyncio.sleep(READ)
-            self.assertTrue(books.open(time.monotonic()))
+            tracked = owner.state.tracked_by_worker[make_entry().worker]
+            self.assertTrue(tracked.accepts_work(time.monotonic()))
+            await self.write_entry(listed=False)
+            await asyncio.sleep(READ_WAIT)
+            self.assertFalse(tracked.accepts_work(time.monotonic()))
+            await self.write_entry(listed=True)
+            await asyncio.sleep(READ_WAIT)
+            self.assertTrue(tracked.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_entries_that_lapsed_with_the_store_are_waited_for(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             # The store was not read for a while, then the entry is missing.
             owner._fleet._read_at -= 5
-            await self.list_worker(listed=False)
-            await asyncio.sleep(READ)
-            books = owner.state.books_by_worker[make_entry().worker]
-            self.assertTrue(books.open(time.monotonic()))
+            await self.write_entry(listed=False)
+            await asyncio.sleep(READ_WAIT)
+            tracked = owner.state.tracked_by_worker[make_entry().worker]
+            self.assertTrue(tracked.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_owner_knows_which_worker_leaves(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             leaving = msgspec.structs.replace(
                 make_entry(),
                 state=WorkerState.DRAINING,
             )
             record = KeyedRecord(leaving.worker, encode(leaving))
             await self.store.append(WORKERS, [record])
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             # Its entry lapses, and the owner is replaced.
-            await self.list_worker(listed=False)
-            following = await self.take(1)
+            await self.write_entry(listed=False)
+            following = await self.take_over(1)
             running = asyncio.create_task(following.run())
-            await asyncio.sleep(READ)
-            books = following.state.books_by_worker[leaving.worker]
-            self.assertTrue(books.session.reachable)
-            self.assertFalse(books.open(time.monotonic()))
+            await asyncio.sleep(READ_WAIT)
+            tracked = following.state.tracked_by_worker[leaving.worker]
+            self.assertTrue(tracked.session.reachable)
+            self.assertFalse(tracked.accepts_work(time.monotonic()))
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_foreign_entries.py
+++ b/orchidrail/shard/tests/test_foreign_entries.py
@@ -14,7 +14,7 @@
     BAD_ENTRY,
     JOB,
     ME,
-    READ,
+    READ_WAIT,
     WORKERS,
     FleetTestCase,
     decode,
@@ -41,30 +41,30 @@
     def test_a_worker_whose_entry_is_overwritten_runs_on(self) -> None:
         """It gets no new work until its own entry is there again."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             task = await self.submit(owner)
-            books = owner.state.books_by_worker[WorkerId('w-1')]
+            tracked = owner.state.tracked_by_worker[WorkerId('w-1')]
             await self.store.append(WORKERS, [KeyedRecord('w-1', BAD_ENTRY)])
-            await asyncio.sleep(READ)
-            self.assertFalse(books.open(time.monotonic()))
+            await asyncio.sleep(READ_WAIT)
+            self.assertFalse(tracked.accepts_work(time.monotonic()))
             worker = owner._ports.worker_calls
             assert isinstance(worker, FakeWorker)
             self.assertIsNotNone(worker.holds[-1].deadline)
             worker.end(RunKey(task.key, task.run), RunEnding.DONE)
-            await asyncio.sleep(2 * READ)
+            await asyncio.sleep(2 * READ_WAIT)
             self.assertNotIn(JOB, owner.state.job_by_id)
-            await self.list_worker(listed=True)
-            await asyncio.sleep(READ)
-            self.assertTrue(books.open(time.monotonic()))
+            await self.write_entry(listed=True)
+            await asyncio.sleep(READ_WAIT)
+            self.assertTrue(tracked.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_that_answers_keeps_the_room_of_its_own_entry(
         self,
     ) -> None:
         """Seen in the soak: it was given more than it has room for."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             own = make_entry()
             foreign = msgspec.structs.replace(
                 own,
@@ -73,19 +73,19 @@
             )
             record = KeyedRecord(own.name, encode(foreign))
             await self.store.append(WORKERS, [record])
-            await asyncio.sleep(2 * READ)
-            books = owner.state.books_by_worker[own.worker]
-            self.assertEqual(own.capacity, books.entry.capacity)
-            self.assertEqual(own.address, books.session.entry.address)
+            await asyncio.sleep(2 * READ_WAIT)
+            tracked = owner.state.tracked_by_worker[own.worker]
+            self.assertEqual(own.capacity, tracked.entry.capacity)
+            self.assertEqual(own.address, tracked.session.entry.address)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_owner_calls_the_worker_where_its_own_entry_says(
         self,
     ) -> None:
         """The owner before had kept an entry that somebody else wrote."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             own = make_entry()
             foreign = msgspec.structs.replace(
                 own,
@@ -95,36 +95,36 @@
             )
             record = KeyedRecord(own.name, encode(foreign))
             await self.store.append(WORKERS, [record])
-            await asyncio.sleep(2 * READ)
-            successor = await self.take(1)
+            await asyncio.sleep(2 * READ_WAIT)
+            successor = await self.take_over(1)
             running = asyncio.create_task(successor.run())
-            await self.list_worker(listed=True)
-            await asyncio.sleep(2 * READ)
-            books = successor.state.books_by_worker[own.worker]
+            await self.write_entry(listed=True)
+            await asyncio.sleep(2 * READ_WAIT)
+            tracked = successor.state.tracked_by_worker[own.worker]
             running.cancel()
-            self.assertEqual(own.address, books.session.entry.address)
+            self.assertEqual(own.address, tracked.session.entry.address)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_entries_that_name_no_worker_are_told_once(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             for _ in range(3):
                 await self.store.append(WORKERS, [KeyedRecord('x', BAD_ENTRY)])
                 await self.store.append(WORKERS, [KeyedRecord('y', BAD_ENTRY)])
-                await asyncio.sleep(READ)
+                await asyncio.sleep(READ_WAIT)
             counted = owner.state.metrics.bad_entries.labels('unreadable')
             self.assertEqual(2, counted._value.get())
-            self.assertEqual(['w-1'], list(owner.state.books_by_worker))
+            self.assertEqual(['w-1'], list(owner.state.tracked_by_worker))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_of_a_service_without_queues_is_left_alone(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
-            await self.list_worker(listed=False)
+        async def scenario(owner: ShardOwner) -> None:
+            await self.write_entry(listed=False)
             served: set[ServiceName] = set()
             workers = FakeWorker()
             self.store = MemoryStore()
-            await self.list_worker(listed=True)
+            await self.write_entry(listed=True)
             view = JournalView(self.store, Topic('journal'))
             writer = await take_over(view, ME, time.monotonic, Epoch(0))
             ports = make_ports(self.store)._replace(
@@ -134,15 +134,15 @@
             )
             other = ShardOwner(writer, ports)
             running = asyncio.create_task(other.run())
-            await asyncio.sleep(READ)
-            self.assertEqual([], list(other.state.books_by_worker))
+            await asyncio.sleep(READ_WAIT)
+            self.assertEqual([], list(other.state.tracked_by_worker))
             self.assertEqual([], workers.holds)
             served.add(make_entry().service)
             later = msgspec.structs.replace(make_entry(), leaves_in=1)
             raw = encode(later)
             await self.store.append(WORKERS, [KeyedRecord('w-1', raw)])
-            await asyncio.sleep(READ)
-            self.assertEqual(['w-1'], list(other.state.books_by_worker))
+            await asyncio.sleep(READ_WAIT)
+            self.assertEqual(['w-1'], list(other.state.tracked_by_worker))
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_headroom.py
+++ b/orchidrail/shard/tests/test_headroom.py
@@ -7,20 +7,20 @@
 
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
 from orchidrail.workers.port import RunKey
 
 
-def _run(books: WorkerBooks, millicores: int, priority: int) -> RunKey:
+def _run(tracked: TrackedWorker, millicores: int, priority: int) -> RunKey:
     step = make_step(StepSpec(1, Size(millicores)))
     queue = msgspec.structs.replace(step.job.queue, priority=priority)
     step.job.record = msgspec.structs.replace(step.job.record, queue=queue)
-    key = RunKey(step.tasks[0].key, RunNumber(len(books.run_by_key) + 1))
+    key = RunKey(step.tasks[0].key, RunNumber(len(tracked.run_by_key) + 1))
     size = Size(millicores)
-    books.charge(PlacedRun(key, size, step.tasks[0], 0), step.key)
+    tracked.allocate(PlacedRun(key, size, step.tasks[0], 0), step.key)
     return key
 
 
@@ -28,26 +28,26 @@
     def setUp(self) -> None:
         super().setUp()
         self.headroom = Headroom()
-        self.books = make_books('a', cores=40)
-        self.service = self.books.entry.service
+        self.tracked = make_books('a', cores=40)
+        self.service = self.tracked.entry.service
 
     def left(self, now: float) -> int:
-        self.headroom.note([self.books], now)
-        return self.headroom.available_to_others(self.service, [self.books])
+        self.headroom.note([self.tracked], now)
+        return self.headroom.available_to_others(self.service, [self.tracked])
 
     def test_without_urgent_work_all_is_left_to_others(self) -> None:
-        _run(self.books, 10_000, priority=1)
+        _run(self.tracked, 10_000, priority=1)
         self.assertEqual(30_000, self.left(1))
 
     def test_what_a_peak_used_is_kept_free_and_forgotten(self) -> None:
-        key = _run(self.books, 8_000, priority=0)
+        key = _run(self.tracked, 8_000, priority=0)
         self.assertEqual(32_000, self.left(1))
-        self.books.release(key)
+        self.tracked.release(key)
         self.assertEqual(32_000, self.left(1))
         self.assertGreater(self.left(11), 36_000)
 
     def test_only_a_share_is_ever_kept(self) -> None:
-        key = _run(self.books, 30_000, priority=0)
+        key = _run(self.tracked, 30_000, priority=0)
         self.left(1)
-        self.books.release(key)
+        self.tracked.release(key)
         self.assertEqual(30_000, self.left(1))
--- a/orchidrail/shard/tests/test_job_tenancy.py
+++ b/orchidrail/shard/tests/test_job_tenancy.py
@@ -94,25 +94,25 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def take(self, epoch: int, *tenants: Tenant) -> ShardOwner:
+    async def take_over(self, epoch: int, *tenants: Tenant) -> ShardOwner:
         view = JournalView(self.store, Topic('journal'))
         writer = await take_over(view, _ME, time.monotonic, Epoch(epoch))
         by_name = {tenant.name: tenant for tenant in tenants}
         ports = make_ports(self.store)._replace(find_tenant=by_name.get)
         return ShardOwner(writer, ports)
 
-    def play(
+    def run_scenario(
         self,
-        scene: Callable[[ShardOwner], Awaitable[None]],
+        scenario: Callable[[ShardOwner], Awaitable[None]],
         *tenants: Tenant,
     ) -> None:
         """Run a scene beside the owner."""
 
         async def run() -> None:
-            owner = await self.take(0, *tenants)
+            owner = await self.take_over(0, *tenants)
             running = asyncio.create_task(owner.run())
             try:
-                await scene(owner)
+                await scenario(owner)
             finally:
                 running.cancel()
 
@@ -138,7 +138,7 @@
         return (await self.ask(owner, message)).code
 
     def test_a_job_is_told_to_its_tenant_only(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.assertIs(WorkCode.OK, await self.submit(owner, _STORES))
             for name, code in (
                 ('stores', WorkCode.OK),
@@ -149,10 +149,10 @@
                 answer = await self.ask(owner, message)
                 self.assertIs(code, answer.code)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_is_cancelled_by_its_tenant_only(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             message = CancelWork(job_id=_JOB, tenant=_BUYERS.name)
             answer = await self.ask(owner, message)
@@ -162,10 +162,10 @@
             answer = await self.ask(owner, message)
             self.assertIs(WorkCode.OK, answer.code)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_one_id_sent_by_two_tenants_is_the_first_one_s_job(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             for tenant, code in (
                 (_STORES, WorkCode.OK),
@@ -176,33 +176,33 @@
             job = owner.state.job_by_id[_JOB]
             self.assertEqual(_STORES, job.tenant)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_owner_knows_whose_it_is(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
-            following = await self.take(1)
+            following = await self.take_over(1)
             self.assertEqual(_STORES, following.state.job_by_id[_JOB].tenant)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_tenant_that_has_left_keeps_the_limit_that_it_had(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             step = owner.state.job_by_id[_JOB].steps(0)[0]
-            allowed = owner.state.ledger.allow(step, step.tasks)
+            allowed = owner.state.ledger.within_limit(step, step.tasks)
             self.assertEqual(1, len(allowed))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_what_never_fits_its_tenant_is_refused_at_once(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             code = await self.submit(owner, _STORES)
             self.assertIs(WorkCode.NEVER_FITS, code)
             self.assertIsNone(owner.phase(_JOB))
 
         small = Tenant(_STORES.name, 2, Size(1999, 0))
-        self.play(scene, small)
+        self.run_scenario(scenario, small)
 
     def test_runs_of_an_ended_job_count_until_they_are_over(self) -> None:
         left = LeftRun(
@@ -219,17 +219,17 @@
             left=(left,),
         )
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             owner.writer.put(job_key(_JOB), encode(ended))
             await owner.writer.flush()
-            following = await self.take(1)
+            following = await self.take_over(1)
             ledger = following.state.ledger
             self.assertEqual(Size(2000, 10), ledger.used(_STORES.name))
             for worker in list(following.state.unresolved_by_worker):
-                following.state.unresolved_by_worker.settle(worker)
+                following.state.unresolved_by_worker.pop_runs(worker)
             self.assertEqual(Size(), ledger.used(_STORES.name))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
 
 class VersionsTest(AsyncTestCase):
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -21,7 +21,7 @@
 
 class LoadReportTest(ShardTestCase):
     def test_the_load_tells_of_questions_and_calls(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             desk = AdviceDesk(self.fail, time.monotonic)
             desk.use_lanes([InstanceId('lane')])
             placer = Placer(shard.state, shard.runs, desk)
@@ -45,4 +45,4 @@
             )
             self.assertAlmostEqual(_WAITED, gauge or 0, delta=0.5)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -38,27 +38,27 @@
 
 class LongWaitsTest(ShardTestCase):
     def test_permitted_workers_with_room_are_named(self) -> None:
-        async def scene(shard: Shard) -> None:
-            worker = shard.books.worker
+        async def scenario(shard: Shard) -> None:
+            worker = shard.tracked.worker
             step = advised(StepSpec(1, _TASK), worker)
             step.permits.expire(worker)
             told = _wait(shard, step)
             self.assertEqual({worker: 'ticket'}, told['idle'])
-            fill(shard.books, 62)
+            fill(shard.tracked, 62)
             self.assertEqual({}, _wait(shard, step)['idle'])
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_is_told_from_tasks_that_start_alone(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             for gang, expected in ((True, 'gang'), (False, 'alone')):
                 step = shard.add(make_job(StepSpec(2, _TASK, gang=gang)))
                 self.assertEqual(expected, _wait(shard, step)['starts'])
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_question_is_told_with_what_it_waits_for(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = advised(StepSpec(1, _TASK))
             self.assertNotIn('question', _wait(shard, step))
             with shard.state.open_questions.follow(step) as question:
@@ -75,48 +75,48 @@
                 )
                 self.assertLess(told['question_in_state'], _WAITED + 0.5)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_room_held_for_questions_is_counted(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1, _TASK)))
-            shard.books.hold('other', shard.books.free)
+            shard.tracked.hold('other', shard.tracked.free)
             told = _wait(shard, step)
             self.assertEqual(1, told['held'])
             self.assertEqual({'held': 1}, told['workers'])
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_silence_of_workers_with_tasks_of_the_step_is_told(
         self,
     ) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, _TASK)))
             self.assertNotIn('unheard', _wait(shard, step))
-            step.job.place(step.tasks[0], RunNumber(1), shard.books.worker)
+            step.job.place(step.tasks[0], RunNumber(1), shard.tracked.worker)
             told = _wait(shard, step)
             self.assertAlmostEqual(_WAITED, told['unheard'], delta=0.5)
-            shard.books.session.heard_at = shard.state.clock()
+            shard.tracked.session.heard_at = shard.state.clock()
             self.assertNotIn('unheard', _wait(shard, step))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_worker_that_was_never_met_is_silent_since_the_owner_began(
         self,
     ) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, _TASK)))
             step.job.place(step.tasks[0], RunNumber(1), WorkerId('unmet'))
             shard.state.began_at -= 10
             told = _wait(shard, step)
             self.assertAlmostEqual(10 + _WAITED, told['unheard'], delta=0.5)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_steps_that_look_at_many_workers_are_told_one_after_another(
         self,
     ) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             steps = [
                 shard.add(make_job(StepSpec(1, _TASK), job_id=name * 16))
                 for name in 'ab'
@@ -132,4 +132,4 @@
                     told.append([line['job'] for line in lines])
             self.assertEqual([['a' * 16], ['b' * 16], []], told)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_lost_runs.py
+++ b/orchidrail/shard/tests/test_lost_runs.py
@@ -17,11 +17,11 @@
 
 class LostRunsTest(ShardTestCase):
     def test_a_run_that_had_just_begun_is_told_from_one_at_work(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             older = shard.add(make_job(StepSpec(1)))
             shard.launch(older)
             await asyncio.sleep(_SOON)
-            await shard.look()
+            await shard.poll()
             newer = shard.add(make_job(StepSpec(1), job_id='f' * 16))
             shard.launch(newer)
             await asyncio.sleep(_SOON)
@@ -35,14 +35,14 @@
             self.assertEqual(0, outlived_by_task[newer.tasks[0].key])
             self.assertGreater(outlived_by_task[older.tasks[0].key], 0)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_crash_is_told_from_an_announced_end(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.launch(shard.add(make_job(StepSpec(1))))
             await asyncio.sleep(_SOON)
-            shard.books.entry = msgspec.structs.replace(
-                shard.books.entry,
+            shard.tracked.entry = msgspec.structs.replace(
+                shard.tracked.entry,
                 state=WorkerState.DRAINING,
             )
             with capture_logs() as lines:
@@ -50,24 +50,24 @@
             reasons = {line['reason'] for line in lines if 'reason' in line}
             self.assertEqual({'left'}, reasons)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_entry_that_goes_after_the_crash_tells_of_no_leave(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.hold_result = OrderResult.UNKNOWN
-            await shard.look()
-            await shard.look()
-            shard.books.missing_since = shard.state.clock()
-            self.assertFalse(shard.books.left_by_itself())
+            await shard.poll()
+            await shard.poll()
+            shard.tracked.missing_since = shard.state.clock()
+            self.assertFalse(shard.tracked.left_voluntarily())
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_entry_that_goes_before_tells_of_a_leave(self) -> None:
-        async def scene(shard: Shard) -> None:
-            shard.books.missing_since = shard.state.clock()
+        async def scenario(shard: Shard) -> None:
+            shard.tracked.missing_since = shard.state.clock()
             shard.worker.hold_result = OrderResult.UNKNOWN
-            await shard.look()
-            await shard.look()
-            self.assertTrue(shard.books.left_by_itself())
+            await shard.poll()
+            await shard.poll()
+            self.assertTrue(shard.tracked.left_voluntarily())
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_next_incarnations.py
+++ b/orchidrail/shard/tests/test_next_incarnations.py
@@ -8,7 +8,7 @@
 from orchidrail.shard.owner import ShardOwner
 from orchidrail.shard.tests.fleet_case import (
     JOB,
-    READ,
+    READ_WAIT,
     FleetTestCase,
 )
 from orchidrail.types import (
@@ -29,117 +29,117 @@
     def test_an_entry_of_the_next_life_ends_the_one_before(self) -> None:
         """It may be read before the worker is met again."""
 
-        async def scene(owner: ShardOwner) -> None:
-            await self.list_life(1000)
+        async def scenario(owner: ShardOwner) -> None:
+            await self.write_incarnation_entry(1000)
             worker = owner._ports.worker_calls
             assert isinstance(worker, FakeWorker)
             task = await self.submit(owner)
             worker.active.clear()
             worker.born = 900
-            await self.list_life(900)
-            await asyncio.sleep(READ)
-            self.assertEqual(['w-1@900'], list(owner.state.books_by_worker))
+            await self.write_incarnation_entry(900)
+            await asyncio.sleep(READ_WAIT)
+            self.assertEqual(['w-1@900'], list(owner.state.tracked_by_worker))
             self.assertEqual(('w-1@900', 2), (task.worker, task.run))
             self.assertEqual(1, task.crashes)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_life_that_is_over_is_not_met_again(self) -> None:
         """Its last heartbeat may be read after the next life has answered."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
             assert isinstance(worker, FakeWorker)
             worker.born = 1000
-            await self.list_life(1000)
-            await asyncio.sleep(READ)
+            await self.write_incarnation_entry(1000)
+            await asyncio.sleep(READ_WAIT)
             worker.born = 2000
-            await asyncio.sleep(2 * READ)
-            books = owner.state.books_by_worker
-            self.assertEqual(['w-1@2000'], list(books))
-            await self.list_life(1000)
-            self.assertEqual(['w-1@2000'], list(books))
-            met = books[WorkerId('w-1@2000')]
+            await asyncio.sleep(2 * READ_WAIT)
+            tracked = owner.state.tracked_by_worker
+            self.assertEqual(['w-1@2000'], list(tracked))
+            await self.write_incarnation_entry(1000)
+            self.assertEqual(['w-1@2000'], list(tracked))
+            met = tracked[WorkerId('w-1@2000')]
             self.assertTrue(met.session.reachable)
-            self.assertFalse(met.open(time.monotonic()))
-            await self.list_life(2000)
-            self.assertEqual([met], list(books.values()))
-            self.assertTrue(met.open(time.monotonic()))
+            self.assertFalse(met.accepts_work(time.monotonic()))
+            await self.write_incarnation_entry(2000)
+            self.assertEqual([met], list(tracked.values()))
+            self.assertTrue(met.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_next_owner_meets_the_next_life(self) -> None:
         """What ran in the life before is started again at once, and counted."""
 
-        async def scene(owner: ShardOwner) -> None:
-            await self.list_life(1000)
+        async def scenario(owner: ShardOwner) -> None:
+            await self.write_incarnation_entry(1000)
             await self.submit(owner)
             owner.resign()
-            await self.list_life(2000)
+            await self.write_incarnation_entry(2000)
             workers = FakeWorker()
             workers.born = 2000
-            following = await self.take(1, workers)
+            following = await self.take_over(1, workers)
             running = asyncio.create_task(following.run())
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             task = following.state.job_by_id[JOB].find_task(0, 0, 0)
             assert task is not None
             self.assertEqual(('w-1@2000', 2), (task.worker, task.run))
             self.assertEqual(1, task.crashes)
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_journal_that_names_no_lives_is_read(self) -> None:
         """An older version placed a run on a worker that runs it still."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             task = await self.submit(owner)
             self.assertEqual('w-1', task.worker)
             owner.resign()
-            await self.list_life(1000)
+            await self.write_incarnation_entry(1000)
             workers = FakeWorker()
             workers.born = 1000
             key = RunKey(task.key, task.run)
             workers.active[key] = ActiveRun(key, '', 50)
-            following = await self.take(1, workers)
+            following = await self.take_over(1, workers)
             running = asyncio.create_task(following.run())
-            await asyncio.sleep(READ)
+            await asyncio.sleep(READ_WAIT)
             kept = following.state.job_by_id[JOB].find_task(0, 0, 0)
             assert kept is not None
             self.assertEqual((TaskPhase.PLACED, 1), (kept.phase, kept.run))
             self.assertEqual([], workers.starts)
-            self.assertEqual(1, len(following.state.books_by_worker))
+            self.assertEqual(1, len(following.state.tracked_by_worker))
             running.cancel()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_life_is_met_with_a_higher_fencing_token(self) -> None:
         """Above all of this owner's before; the next owner's is above it."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
             assert isinstance(worker, FakeWorker)
             worker.born = 1000
-            await self.list_life(1000)
+            await self.write_incarnation_entry(1000)
             epochs = [worker.holds[-1].epoch]
             for born in (2000, 1500):
                 worker.born = born
-                await asyncio.sleep(2 * READ)
+                await asyncio.sleep(2 * READ_WAIT)
                 epochs.append(worker.holds[-1].epoch)
             self.assertEqual([1, 2, 3], [one - epochs[0] + 1 for one in epochs])
-            following = await self.take(1)
+            following = await self.take_over(1)
             self.assertGreater(following.writer.owner.epoch, epochs[-1])
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_start_in_doubt_waits_for_the_next_life(self) -> None:
         """It may be carried out there; then it is what runs."""
 
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
             assert isinstance(worker, FakeWorker)
             worker.born = 1000
-            await self.list_life(1000)
+            await self.write_incarnation_entry(1000)
             worker.start_result = OrderResult.UNKNOWN
             spec = JobSpec('text', (StepSpec(1),))
             queue = make_job(StepSpec(1)).queue
@@ -151,9 +151,9 @@
             key = worker.starts[0].key
             worker.born = 2000
             worker.active[key] = ActiveRun(key, '', 10)
-            await asyncio.sleep(2 * READ)
+            await asyncio.sleep(2 * READ_WAIT)
             self.assertEqual(1, len(worker.starts))
             placed = (TaskPhase.PLACED, 1, 'w-1@2000')
             self.assertEqual(placed, (task.phase, task.run, task.worker))
 
-        self.play(scene)
+        self.run_scenario(scenario)
