--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -15,7 +15,7 @@
 from orchidrail.shard.ranking import Timing, is_overdue
 from orchidrail.shard.tests.test_candidate_workers import fill
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -36,26 +36,28 @@
     return step
 
 
-def _pass(every: list[WorkerBooks], now: Seconds) -> Pass:
+def _pass(every: list[TrackedWorker], now: Seconds) -> Pass:
     return Pass(every, now, now, Headroom(), [], [])
 
 
 class OverdueTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.books = [make_books(name, cores=_CORES) for name in 'ab']
+        self.tracked = [make_books(name, cores=_CORES) for name in 'ab']
 
     def test_a_step_that_waits_while_half_is_free_is_overdue_in_time(
         self,
     ) -> None:
-        workers = CandidateWorkers(self.books, _MAY_STAND_STILL - 2 * _QUESTION)
+        workers = CandidateWorkers(
+            self.tracked, _MAY_STAND_STILL - 2 * _QUESTION
+        )
         self.assertEqual(0, workers.overdue_since(_waiting(0)))
-        early = CandidateWorkers(self.books, 0.5)
+        early = CandidateWorkers(self.tracked, 0.5)
         self.assertIsNone(early.overdue_since(_waiting(0)))
 
     def test_a_step_is_not_overdue_while_half_is_in_use(self) -> None:
-        fill(self.books[0], _CORES)
-        workers = CandidateWorkers(self.books, 10)
+        fill(self.tracked[0], _CORES)
+        workers = CandidateWorkers(self.tracked, 10)
         self.assertIsNone(workers.overdue_since(_waiting(0)))
 
     def test_a_step_that_waits_for_its_tenants_limit_is_not_overdue(
@@ -63,7 +65,7 @@
     ) -> None:
         step = _waiting(0)
         step.limited_at = 9.5
-        workers = CandidateWorkers(self.books, 10)
+        workers = CandidateWorkers(self.tracked, 10)
         self.assertIsNone(workers.overdue_since(step))
 
     def test_the_longest_wait_goes_before_an_earlier_deadline(self) -> None:
@@ -77,7 +79,7 @@
         ):
             timing = Timing(deadline - 1, deadline, 0, urgent=False)
             waiting = WaitingStep(timing, _waiting(since), [])
-            ranks[name] = waiting.rank(_pass(self.books, now))
+            ranks[name] = waiting.rank(_pass(self.tracked, now))
         ordered = sorted(ranks, key=ranks.__getitem__)
         self.assertEqual(['waits longest', 'waits', 'early'], ordered)
         self.assertEqual(
@@ -87,7 +89,7 @@
 
     def test_urgent_work_in_time_goes_before_what_is_overdue(self) -> None:
         now: Seconds = 10
-        this_pass = _pass(self.books, now)
+        this_pass = _pass(self.tracked, now)
         urgent = Timing(10, 11, 9.9, urgent=True)
         other = Timing(60, 61, 0, urgent=False)
         first = WaitingStep(urgent, _waiting(9.9), [])
@@ -106,38 +108,38 @@
 
     def test_a_step_is_not_kept_off_resting_workers_for_long(self) -> None:
         """Guards against rests that each failure of another job renews."""
-        for books in self.books:
-            books.rest(0, 100)
+        for tracked in self.tracked:
+            tracked.quarantine(0, 100)
         found_at = []
         for now in (1.5, _MAY_STAND_STILL - _QUESTION):
-            workers = CandidateWorkers([], now, resting=self.books)
+            workers = CandidateWorkers([], now, resting=self.tracked)
             found = workers.with_free_capacity(_waiting(0))
-            found_at.append([books.worker for books in found])
+            found_at.append([tracked.worker for tracked in found])
         self.assertEqual([[], ['a', 'b']], found_at)
 
     def test_a_worker_that_begins_to_rest_gets_nothing_that_can_wait(
         self,
     ) -> None:
         """Its tickets may come while it rests after failures there."""
-        books = self.books[0]
-        books.session.reachable = True
-        books.rest(0, 100)
-        self.assertFalse(may_place_on(_waiting(0), books, 1.5))
-        self.assertTrue(may_place_on(_waiting(0), books, 2.5))
-        books.listed = False
-        self.assertFalse(may_place_on(_waiting(0), books, 2.5))
+        tracked = self.tracked[0]
+        tracked.session.reachable = True
+        tracked.quarantine(0, 100)
+        self.assertFalse(may_place_on(_waiting(0), tracked, 1.5))
+        self.assertTrue(may_place_on(_waiting(0), tracked, 2.5))
+        tracked.listed = False
+        self.assertFalse(may_place_on(_waiting(0), tracked, 2.5))
 
     def test_another_worker_with_room_goes_before_one_that_rests(self) -> None:
-        resting, other = self.books
+        resting, other = self.tracked
         workers = CandidateWorkers([other], 10, resting=[resting])
         found = workers.with_free_capacity(_waiting(0))
-        self.assertEqual([WorkerId('b')], [books.worker for books in found])
+        self.assertEqual([WorkerId('b')], [tracked.worker for tracked in found])
 
     def test_a_step_that_was_at_work_is_overdue_on_a_full_service(
         self,
     ) -> None:
-        fill(self.books[0], _CORES)
+        fill(self.tracked[0], _CORES)
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         step.tasks[0].run, step.tasks[0].waits_since = RunNumber(1), 0
-        workers = CandidateWorkers(self.books, _MAY_STAND_STILL)
+        workers = CandidateWorkers(self.tracked, _MAY_STAND_STILL)
         self.assertEqual(0, workers.overdue_since(step))
--- a/orchidrail/shard/tests/test_owner.py
+++ b/orchidrail/shard/tests/test_owner.py
@@ -54,27 +54,29 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def take(self, epoch: int) -> ShardOwner:
+    async def take_over(self, epoch: int) -> ShardOwner:
         view = JournalView(self.store, Topic('journal'))
         writer = await take_over(view, _ME, time.monotonic, Epoch(epoch))
         ports = make_ports(self.store)
         return ShardOwner(writer, ports)
 
-    def play(self, scene: Callable[[ShardOwner], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[ShardOwner], Awaitable[None]]
+    ) -> None:
         """Run a scene beside the owner."""
 
         async def run() -> None:
-            owner = await self.take(0)
+            owner = await self.take_over(0)
             running = asyncio.create_task(owner.run())
             try:
-                await scene(owner)
+                await scenario(owner)
             finally:
                 running.cancel()
 
         self.run_async(run())
 
     def test_a_caller_that_leaves_does_not_strand_its_job(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             submitting = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
             await asyncio.sleep(0)
             submitting.cancel()
@@ -82,10 +84,10 @@
             self.assertEqual(JobPhase.QUEUED, owner.phase(_JOB))
             self.assertIn(_JOB, owner.placer._waiting_by_job)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_is_looked_at_while_it_is_written(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             submitting = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
             await asyncio.sleep(0.1)
@@ -94,10 +96,10 @@
             self.store.fault = None
             self.assertTrue(await submitting)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_that_was_not_sent_is_withdrawn(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             patient = owner.submit(_JOB, _QUEUE, _SPEC, 3)
             first = asyncio.create_task(patient)
@@ -111,22 +113,22 @@
             await asyncio.sleep(0.1)
             self.assertIsNone(owner.phase(other))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_that_the_store_refused_is_withdrawn(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             submitting = owner.submit(_JOB, _QUEUE, _SPEC, 0.4)
             self.assertIs(False, await submitting)
             self.store.fault = None
             await asyncio.sleep(0.3)
-            following = await self.take(1)
+            following = await self.take_over(1)
             self.assertIsNone(following.phase(_JOB))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_that_may_be_written_is_not_denied(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.SWALLOWS
             submitting = asyncio.create_task(
                 owner.submit(_JOB, _QUEUE, _SPEC, 0.3)
@@ -136,10 +138,10 @@
             self.store.fault = None
             self.assertTrue(await submitting)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_that_a_next_owner_lacks_was_not_taken(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             first = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
             await asyncio.sleep(0.1)
@@ -147,14 +149,14 @@
             view = owner.writer.view
             async with view.lock:
                 self.store.fault = None
-                following = await self.take(1)
+                following = await self.take_over(1)
             self.assertIs(False, await first)
             self.assertIsNone(following.phase(_JOB))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_leases_are_renewed_while_nobody_can_have_taken_over(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             owner.writer.confirmed_at -= 6
             self.assertFalse(owner._may_renew())
@@ -163,10 +165,10 @@
             owner.resign()
             self.assertFalse(owner._may_renew())
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_is_accepted_once(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             outcomes = await asyncio.gather(
                 owner.submit(_JOB, _QUEUE, _SPEC),
                 owner.submit(_JOB, _QUEUE, _SPEC),
@@ -174,10 +176,10 @@
             self.assertEqual([True, True], outcomes)
             self.assertEqual(1, len(owner.state.job_by_id))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_is_refused_while_the_journal_is_silent(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             owner.writer.confirmed_at -= 2
             self.assertIs(False, await owner.submit(_JOB, _QUEUE, _SPEC))
@@ -185,23 +187,23 @@
             await asyncio.sleep(0.6)
             self.assertIsNone(owner.phase(_JOB))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_next_owner_knows_what_was_accepted(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             other = JobId('f' * 16)
             await owner.submit(other, _QUEUE, _SPEC)
             await owner.cancel(other)
-            following = await self.take(1)
+            following = await self.take_over(1)
             self.assertEqual(JobPhase.QUEUED, following.phase(_JOB))
             self.assertEqual(JobPhase.CANCELLED, following.phase(other))
             self.assertIsNone(following.phase(JobId('0' * 16)))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_cancel_that_is_repeated_waits_for_the_journal_too(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             self.store.fault = StoreFault.REFUSES
             first = asyncio.create_task(owner.cancel(_JOB))
@@ -213,17 +215,17 @@
             self.assertEqual(JobPhase.CANCELLED, await first)
             self.assertEqual(JobPhase.CANCELLED, await again)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_cancel_that_is_not_written_is_not_acknowledged(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             self.store.fault = StoreFault.REFUSES
             first = asyncio.create_task(owner.cancel(_JOB))
             await asyncio.sleep(0.05)
             again = asyncio.create_task(owner.cancel(_JOB))
             self.store.fault = None
-            following = await self.take(1)
+            following = await self.take_over(1)
             self.assertEqual(JobPhase.QUEUED, following.phase(_JOB))
             for outcome in await asyncio.gather(
                 first,
@@ -232,4 +234,4 @@
             ):
                 self.assertIsInstance(outcome, ConnectionAbortedError)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_pending_advice.py
+++ b/orchidrail/shard/tests/test_pending_advice.py
@@ -83,7 +83,7 @@
             )
 
     def test_a_question_waits_for_a_lane_then_for_its_answer(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             step = make_step(StepSpec(1))
             asking = await self.ask(step)
             self.now += 3
@@ -100,10 +100,10 @@
             self.assertEqual(3, self.sample('advice_line_seconds_sum'))
             self.assertEqual(2, self.sample('advice_call_seconds_sum'))
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_call_without_answer_puts_the_question_back_in_line(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             step = make_step(StepSpec(1))
             self.use_lanes(1)
             asking = await self.ask(step)
@@ -119,12 +119,12 @@
             self.assertIsNone(self.age(step))
             self.assertEqual(1, self.sample('advice_call_seconds_count'))
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_second_call_beside_a_late_one_is_no_wait_for_a_lane(
         self,
     ) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             step = make_step(StepSpec(1))
             self.use_lanes(2)
             asking = await self.ask(step)
@@ -139,10 +139,10 @@
             self.assertEqual(1, self.sample('advice_line_seconds_count'))
             self.assertEqual(2, self.sample('advice_call_seconds_count'))
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_the_oldest_question_of_a_step_is_told(self) -> None:
-        async def scene() -> None:
+        async def scenario() -> None:
             step = make_step(StepSpec(1))
             asking = [await self.ask(step)]
             self.now += 1
@@ -152,4 +152,4 @@
                 one.cancel()
             await asyncio.gather(*asking, return_exceptions=True)
 
-        self.run_async(scene())
+        self.run_async(scenario())
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -18,7 +18,7 @@
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tests.test_due_times import make_timed_job
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.store import Topic
 from orchidrail.store.memory import MemoryStore, StoreFault
 from orchidrail.testing import AsyncTestCase
@@ -107,8 +107,8 @@
             time.monotonic,
             lambda: True,
         )
-        books = WorkerBooks(session)
-        self.state.books_by_worker[session.worker] = books
+        tracked = TrackedWorker(session)
+        self.state.tracked_by_worker[session.worker] = tracked
         await session._look()
 
     def add(self, job: Job) -> None:
@@ -123,7 +123,9 @@
 
 
 class PlacerTest(AsyncTestCase):
-    def play(self, scene: Callable[[_Scene], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[_Scene], Awaitable[None]]
+    ) -> None:
         """Run a scene beside the journal's writer and the placer."""
 
         async def run() -> None:
@@ -135,7 +137,7 @@
                 for work in (writer.run(), setting.placer.run())
             ]
             try:
-                await scene(setting)
+                await scenario(setting)
             finally:
                 setting.placer.close()
                 setting.runs.close()
@@ -147,7 +149,7 @@
     def test_room_kept_for_a_gang_goes_to_it_when_its_tickets_come(
         self,
     ) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             shard.desk.use_lanes([InstanceId('lane')])
             gang = _make_job(
@@ -173,14 +175,14 @@
             phases = {task.phase for task in gang.steps(0)[0].tasks}
             self.assertEqual({TaskPhase.PLACED}, phases)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_what_serves_is_not_put_beside_what_fills_when_tickets_come(
         self,
     ) -> None:
         """Room was kept for it, and a task that fills takes none."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             shard.desk.use_lanes([InstanceId('lane')])
             serving = StepSpec(1, Size(20_000, 1), lasting=True, target=0.1)
@@ -197,10 +199,10 @@
             phases = [job.steps(0)[0].tasks[0].phase for job in (serves, fills)]
             self.assertEqual([TaskPhase.WAITING, TaskPhase.PLACED], phases)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_step_asks_through_several_lanes_if_there_are_many(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
             shard.desk.use_lanes(
@@ -212,12 +214,12 @@
             asked = [len(workers) for workers, _ in shard.questions]
             self.assertEqual([12, 12], asked)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_step_asks_through_one_lane_while_the_others_are_busy(
         self,
     ) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
             shard.desk.use_lanes([InstanceId(f'l-{lane}') for lane in range(9)])
@@ -228,7 +230,7 @@
             asked = [len(workers) for workers, _ in shard.questions]
             self.assertEqual([12, 12, 24], asked)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_asks_about_more_workers_than_would_do(self) -> None:
         """Gangs of twenty in a busy cell, a quarter of it open to each.
@@ -238,7 +240,7 @@
         0.9 s. The same step without a gang asks as before.
         """
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             for number in range(90):
                 await shard.add_worker(f'w-{number:02d}')
             lanes = [InstanceId(f'lane-{lane}') for lane in range(40)]
@@ -253,7 +255,7 @@
                 asked.append(len({one for names, _ in new for one in names}))
             self.assertGreaterEqual(asked[1], min(90, 2 * asked[0]))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     async def ask_again(self, shard: _Scene, spec: StepSpec) -> StepState:
         """Have a wide step wait all of whose tickets have run out."""
@@ -262,7 +264,7 @@
         shard.desk.use_lanes([InstanceId('first'), InstanceId('second')])
         job = _make_job('a' * 16, spec, 1, advice=True)
         step = job.steps(0)[0]
-        every = list(shard.state.books_by_worker)
+        every = list(shard.state.tracked_by_worker)
         step.permits.learn(every, dict.fromkeys(every, 'old'), 0)
         shard.add(job)
         await asyncio.sleep(_SOON)
@@ -275,7 +277,7 @@
     def test_no_call_names_more_workers_than_it_may(self) -> None:
         """One with more would be refused each time, and its step never run."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             spec = StepSpec(_WIDE, Size(1000), most_per_worker=1)
             step = await self.ask_again(shard, spec)
             asked = [len(workers) for workers, _ in shard.questions]
@@ -285,30 +287,30 @@
                 await shard.answer(number, valid=1.5)
             self.assert_placed(step)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_wide_gang_keeps_its_room_until_the_last_answer(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             spec = StepSpec(_WIDE, Size(1000), gang=True, most_per_worker=1)
             step = await self.ask_again(shard, spec)
             calls = len(shard.questions)
             for number in range(calls - 1):
                 await shard.answer(number, valid=1.5)
             held = [
-                bool(books.held_by_step)
-                for books in shard.state.books_by_worker.values()
+                bool(tracked.held_by_step)
+                for tracked in shard.state.tracked_by_worker.values()
             ]
             self.assertEqual(_WIDE, sum(held))
             await shard.answer(calls - 1, valid=1.5)
             self.assert_placed(step)
             self.assertEqual(calls, len(shard.questions))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_whose_room_is_lost_starts_on_other_tickets(self) -> None:
         """Guards against a gang thrown back by each worker that rests."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             for name in ('w-1', 'w-2', 'w-3', 'w-4'):
                 await shard.add_worker(name)
             shard.desk.use_lanes([InstanceId('lane')])
@@ -319,16 +321,16 @@
             await shard.answer(0, valid=0)
             renewed = shard.questions[1][0]
             self.assertEqual(4, len(renewed))
-            lost = shard.state.books_by_worker[renewed[0]]
+            lost = shard.state.tracked_by_worker[renewed[0]]
             lost.listed = False
             await shard.answer(1, valid=5)
             workers = {task.worker for task in job.steps(0)[0].tasks}
             self.assertEqual(2, len(workers - {'', lost.worker}))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_task_that_waits_for_long_is_told_with_its_reasons(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             spec = StepSpec(3, Size(1000), lasting=True, most_per_worker=1)
             job = _make_job('a' * 16, spec, 1, advice=False)
@@ -356,12 +358,12 @@
             )
             self.assertGreaterEqual(waiting, 3)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_the_gauge_of_waits_falls_when_a_queue_has_no_job_left(
         self,
     ) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             spec = StepSpec(3, Size(1000), lasting=True, most_per_worker=1)
             job = _make_job('a' * 16, spec, 1, advice=False)
@@ -378,12 +380,12 @@
             )
             self.assertEqual(0, waiting)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_backlog_asks_for_no_more_than_the_lanes_can_take(self) -> None:
         """After a loss of power, hundreds of steps wait for advice at once."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             lanes = [InstanceId(f'l-{lane}') for lane in range(4)]
             shard.desk.use_lanes(lanes)
@@ -398,12 +400,12 @@
             await asyncio.sleep(_SOON)
             self.assertEqual(1, urgent.steps(0)[0].permits.asking)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_step_that_has_waited_for_long_asks_however_many_do(self) -> None:
         """Urgent steps ask at once, and may do so for as long as they come."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             shard.desk.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000))
@@ -417,14 +419,14 @@
             await asyncio.sleep(4 * _SOON)
             self.assertEqual(1, step.permits.asking)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_step_that_could_not_ask_yet_asks_when_lanes_are_free(
         self,
     ) -> None:
         """More steps wait than may ask at once, and nothing else changes."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             shard.desk.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1_000, 1))
@@ -441,14 +443,14 @@
             phases = {job.steps(0)[0].tasks[0].phase for job in jobs}
             self.assertEqual({TaskPhase.PLACED}, phases)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_blocked_step_takes_a_worker_that_failed_it_if_need_be(
         self,
     ) -> None:
         """The last other worker that may run a step leaves."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             await shard.add_worker('w-2')
             full = _make_job('a' * 16, StepSpec(1, Size(60_000, 1)), 1, False)
@@ -456,7 +458,7 @@
             await asyncio.sleep(_SOON)
             busy = full.steps(0)[0].tasks[0].worker
             blocked = _make_job('b' * 16, StepSpec(1, Size(9_000, 1)), 1, False)
-            other = (shard.state.books_by_worker.keys() - {busy}).pop()
+            other = (shard.state.tracked_by_worker.keys() - {busy}).pop()
             blocked.steps(0)[0].failed_workers.note_failure(
                 other,
                 time.monotonic(),
@@ -465,17 +467,17 @@
             await asyncio.sleep(_SOON)
             task = blocked.steps(0)[0].tasks[0]
             self.assertIs(TaskPhase.WAITING, task.phase)
-            shard.state.books_by_worker[busy].listed = False
+            shard.state.tracked_by_worker[busy].listed = False
             shard.state.wanted.set()
             await asyncio.sleep(_SOON)
             self.assertEqual(other, task.worker)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_blocked_step_is_placed_when_a_worker_has_room(self) -> None:
         """Hundreds of steps wait, and few workers have more room each time."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             full = _make_job('a' * 16, StepSpec(1, Size(60_000, 1)), 1, False)
             blocked = _make_job('b' * 16, StepSpec(1, Size(9_000, 1)), 1, False)
@@ -485,17 +487,17 @@
             await asyncio.sleep(_SOON)
             task = blocked.steps(0)[0].tasks[0]
             self.assertIs(TaskPhase.WAITING, task.phase)
-            books = next(iter(shard.state.books_by_worker.values()))
-            for key in list(books.run_by_key):
-                books.release(key)
+            tracked = next(iter(shard.state.tracked_by_worker.values()))
+            for key in list(tracked.run_by_key):
+                tracked.release(key)
             shard.state.wanted.set()
             await asyncio.sleep(_SOON)
             self.assertIs(TaskPhase.PLACED, task.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_nothing_is_placed_while_the_journal_is_silent(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             store = shard.state.writer.view.store
             assert isinstance(store, MemoryStore)
@@ -511,10 +513,10 @@
             self.assertIs(TaskPhase.PLACED, task.phase)
             self.assertIn('journal', waiting.waits.describe(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_small_tasks_do_not_starve_a_large_one(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             first = _make_job('a' * 16, StepSpec(2, Size(20_000)), 1, False)
             shard.add(first)
@@ -527,10 +529,10 @@
             phases = [job.steps(0)[0].tasks[0].phase for job in (large, small)]
             self.assertEqual([TaskPhase.WAITING, TaskPhase.WAITING], phases)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_no_worker_is_kept_while_there_is_room(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             for number in range(3):
                 await shard.add_worker(f'w-{number}')
             on_each = StepSpec(3, Size(30_000), most_per_worker=1)
@@ -544,7 +546,7 @@
             phases = [job.steps(0)[0].tasks[0].phase for job in (large, small)]
             self.assertEqual([TaskPhase.WAITING, TaskPhase.PLACED], phases)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_round_starts_in_time_though_something_always_changes(
         self,
@@ -554,7 +556,7 @@
                 shard.state.wanted.set()
                 await asyncio.sleep(_SOON / 5)
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             timed = make_timed_job('a' * 16, time.time() + _SOON, 100)
             shard.add(timed)
@@ -564,10 +566,10 @@
             task = timed.steps(0)[0].tasks[0]
             self.assertIsNot(TaskPhase.WAITING, task.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_job_tells_what_it_waited_for(self) -> None:
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             shard.desk.use_lanes([InstanceId('lane')])
             asking = _make_job('a' * 16, StepSpec(1, Size(1, 1)), 1, True)
@@ -582,4 +584,4 @@
             self.assertIn('advice', asking.waits.describe(time.monotonic()))
             self.assertIn('room', crowded.waits.describe(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_reservations.py
+++ b/orchidrail/shard/tests/test_reservations.py
@@ -14,20 +14,22 @@
     time_until_free,
 )
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
 from orchidrail.workers.port import RunKey
 
 
-def _place(books: WorkerBooks, spec: StepSpec, share: float = 0) -> PlacedRun:
+def _place(
+    tracked: TrackedWorker, spec: StepSpec, share: float = 0
+) -> PlacedRun:
     """Put a run on a worker that it was confirmed on at time 10."""
     task = make_step(spec).tasks[0]
-    key = RunKey(task.key, RunNumber(len(books.run_by_key) + 1))
+    key = RunKey(task.key, RunNumber(len(tracked.run_by_key) + 1))
     run = PlacedRun(key, spec.charged, task, 10, confirmed_at=10)
     run.share_done = share
-    books.charge(run, task.step.key)
+    tracked.allocate(run, task.step.key)
     return run
 
 
@@ -57,7 +59,7 @@
         step = make_step(spec)
         held, other = make_books('held', cores=8), make_books('other')
         key = RunKey(step.tasks[0].key, RunNumber(1))
-        held.charge(PlacedRun(key, spec.charged, step.tasks[0], 10), step.key)
+        held.allocate(PlacedRun(key, spec.charged, step.tasks[0], 10), step.key)
         _place(other, StepSpec(1, Size(3000), estimate=2))
         # What runs there is of another job.
         other.count_by_step.clear()
@@ -80,12 +82,12 @@
         self.assertEqual({'only', 'other'}, both)
 
     def test_room_comes_when_enough_has_ended(self) -> None:
-        books = make_books('a')
-        _place(books, StepSpec(1, Size(2000), estimate=2))
-        _place(books, StepSpec(1, Size(2000), estimate=5))
-        self.assertEqual(1, time_until_free(books, Size(2000), now=11))
-        self.assertEqual(4, time_until_free(books, Size(4000), now=11))
-        self.assertEqual(math.inf, time_until_free(books, Size(5000), now=11))
+        tracked = make_books('a')
+        _place(tracked, StepSpec(1, Size(2000), estimate=2))
+        _place(tracked, StepSpec(1, Size(2000), estimate=5))
+        self.assertEqual(1, time_until_free(tracked, Size(2000), now=11))
+        self.assertEqual(4, time_until_free(tracked, Size(4000), now=11))
+        self.assertEqual(math.inf, time_until_free(tracked, Size(5000), now=11))
 
     def test_progress_tells_more_than_an_estimate(self) -> None:
         run = _place(make_books('a'), StepSpec(1, estimate=2), share=50)
@@ -100,8 +102,8 @@
         9 s and more, with room on workers that were kept so.
         """
         both = make_books('a'), make_books('b')
-        for books in both:
-            _place(books, StepSpec(1, Size(1500), lasting=True))
+        for tracked in both:
+            _place(tracked, StepSpec(1, Size(1500), lasting=True))
         gang = make_step(StepSpec(3, Size(2000), gang=True))
         self.assertEqual(
             set(), choose_reserved_workers(gang, 3, list(both), now=11)
--- a/orchidrail/shard/tests/test_resubmission.py
+++ b/orchidrail/shard/tests/test_resubmission.py
@@ -26,7 +26,7 @@
 
 class SubmittedAgainTest(FleetTestCase):
     def test_what_was_withdrawn_ends_nothing(self) -> None:
-        async def scene(owner: ShardOwner) -> None:
+        async def scenario(owner: ShardOwner) -> None:
             spec = JobSpec('text', (StepSpec(1),))
             queue = make_job(StepSpec(1)).queue
             self.store.fault = StoreFault.REFUSES
@@ -40,4 +40,4 @@
             self.assertIs(JobPhase.RUNNING, owner.phase(JOB))
             self.assertIn(JOB, owner.state.job_by_id)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -11,12 +11,12 @@
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard import runs
-from orchidrail.shard.crash_evidence import LifeEnd
+from orchidrail.shard.crash_evidence import IncarnationEnd
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import (
     PlacedRun,
-    WorkerBooks,
+    TrackedWorker,
     note_progress,
 )
 from orchidrail.shard.worker_selection import Placement
@@ -77,8 +77,8 @@
             time.monotonic,
             lambda: True,
         )
-        self.books = WorkerBooks(session)
-        self.state.books_by_worker[session.worker] = self.books
+        self.tracked = TrackedWorker(session)
+        self.state.tracked_by_worker[session.worker] = self.tracked
 
     def _count_fence(self) -> None:
         self.fenced += 1
@@ -88,22 +88,24 @@
         return next(job.open_steps(time.time()))
 
     def launch(self, step: StepState) -> None:
-        chosen = [Placement(task, self.books) for task in step.startable()]
+        chosen = [Placement(task, self.tracked) for task in step.startable()]
         self.runs.launch(step, chosen)
 
-    async def look(self) -> None:
-        await self.books.session._look()
+    async def poll(self) -> None:
+        await self.tracked.session._look()
 
     async def crash(self) -> None:
         """End the worker's life; another answers at its address."""
         self.worker.hold_result = OrderResult.OTHER_LIFE
-        await self.look()
+        await self.poll()
 
 
 class ShardTestCase(AsyncTestCase):
     """Plays scenes around one tracker."""
 
-    def play(self, scene: Callable[[Shard], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[Shard], Awaitable[None]]
+    ) -> None:
         """Run a scene beside the journal's writer."""
 
         async def run() -> None:
@@ -111,9 +113,9 @@
             writer = await take_over(view, _ME, time.monotonic, Epoch(0))
             shard = Shard(writer)
             writing = asyncio.create_task(writer.run())
-            await shard.look()
+            await shard.poll()
             try:
-                await scene(shard)
+                await scenario(shard)
             finally:
                 shard.runs.close()
                 writing.cancel()
@@ -123,7 +125,7 @@
 
 class RunsTest(ShardTestCase):
     def test_a_start_goes_out_once_the_journal_has_it(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             store = shard.store
             assert isinstance(store, MemoryStore)
             store.fault = StoreFault.REFUSES
@@ -134,39 +136,39 @@
             await asyncio.sleep(_SOON * 6)
             self.assertEqual(1, len(shard.worker.starts))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_end_frees_the_room_and_completes_the_job(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             shard.launch(shard.add(job))
-            self.assertEqual(63_500, shard.books.free.millicores)
+            self.assertEqual(63_500, shard.tracked.free.millicores)
             await asyncio.sleep(_SOON)
             shard.worker.end(shard.worker.starts[0].key, RunEnding.DONE)
-            await shard.look()
-            self.assertEqual(64_000, shard.books.free.millicores)
+            await shard.poll()
+            self.assertEqual(64_000, shard.tracked.free.millicores)
             self.assertIs(JobPhase.COMPLETED, job.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_doubtful_start_keeps_its_room_until_it_is_too_late(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             step = shard.add(make_job(StepSpec(1, size=Size(500))))
             shard.launch(step)
             await asyncio.sleep(_SOON)
-            await shard.look()
-            self.assertEqual(63_500, shard.books.free.millicores)
+            await shard.poll()
+            self.assertEqual(63_500, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.PLACED, step.tasks[0].phase)
             shard.worker.clock += 2
-            await shard.look()
-            self.assertEqual(64_000, shard.books.free.millicores)
+            await shard.poll()
+            self.assertEqual(64_000, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.WAITING, step.tasks[0].phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_start_whose_task_fails_is_started_again(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             async def fail(*_: object) -> None:
                 raise ValueError('not understood')
 
@@ -174,115 +176,115 @@
             step = shard.add(make_job(StepSpec(1)))
             shard.launch(step)
             await asyncio.sleep(_SOON)
-            run = next(iter(shard.books.run_by_key.values()))
+            run = next(iter(shard.tracked.run_by_key.values()))
             self.assertLess(run.start_deadline, math.inf)
             shard.worker.clock = run.start_deadline + 0.001
-            await shard.look()
+            await shard.poll()
             self.assertEqual(step.tasks, step.startable())
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_refused_start_is_free_at_once(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.LATE
             step = shard.add(make_job(StepSpec(1, size=Size(500))))
             shard.launch(step)
             await asyncio.sleep(_SOON)
-            self.assertEqual(64_000, shard.books.free.millicores)
+            self.assertEqual(64_000, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.WAITING, step.tasks[0].phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_unknown_run_closes_the_worker_until_it_is_gone(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             key = RunKey(TaskKey('f' * 16 + '.0.0.0'), RunNumber(1))
             shard.worker.active[key] = ActiveRun(key, '', 0)
-            await shard.look()
-            self.assertFalse(shard.books.open(time.monotonic()))
+            await shard.poll()
+            self.assertFalse(shard.tracked.accepts_work(time.monotonic()))
             await asyncio.sleep(_SOON)
             self.assertEqual([key], shard.worker.stops)
             shard.worker.end(key, RunEnding.STOPPED)
-            await shard.look()
-            self.assertTrue(shard.books.open(time.monotonic()))
+            await shard.poll()
+            self.assertTrue(shard.tracked.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_run_of_an_earlier_owner_is_adopted(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             step = shard.add(job)
             task = step.tasks[0]
-            job.place(task, RunNumber(1), shard.books.worker)
-            shard.state.unresolved_by_worker[shard.books.worker] = [
+            job.place(task, RunNumber(1), shard.tracked.worker)
+            shard.state.unresolved_by_worker[shard.tracked.worker] = [
                 (task, task.run)
             ]
             key = RunKey(task.key, RunNumber(1))
             shard.worker.active[key] = ActiveRun(key, '', 50)
-            await shard.look()
-            self.assertEqual(63_500, shard.books.free.millicores)
+            await shard.poll()
+            self.assertEqual(63_500, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.PLACED, task.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_run_that_never_came_is_started_again(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1))
             step = shard.add(job)
             task = step.tasks[0]
-            job.place(task, RunNumber(1), shard.books.worker)
-            shard.state.unresolved_by_worker[shard.books.worker] = [
+            job.place(task, RunNumber(1), shard.tracked.worker)
+            shard.state.unresolved_by_worker[shard.tracked.worker] = [
                 (task, task.run)
             ]
-            await shard.look()
+            await shard.poll()
             self.assertEqual([task], step.startable())
             self.assertEqual(2, step.next_run([task]))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_run_that_was_just_placed_does_not_stand_still(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             shard.launch(shard.add(make_job(StepSpec(1))))
-            await shard.look()
-            self.assertFalse(shard.books.stalled)
+            await shard.poll()
+            self.assertFalse(shard.tracked.stalled)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_run_that_stands_still_is_run_elsewhere(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1)))
             shard.launch(step)
             await asyncio.sleep(_SOON)
-            await shard.look()
-            run = next(iter(shard.books.run_by_key.values()))
+            await shard.poll()
+            run = next(iter(shard.tracked.run_by_key.values()))
             run.progress_at -= 2
-            await shard.look()
-            self.assertTrue(shard.books.stalled)
+            await shard.poll()
+            self.assertTrue(shard.tracked.stalled)
             await asyncio.sleep(_SOON)
             self.assertEqual([run.key], shard.worker.stops)
             now = shard.state.clock()
-            avoided = step.failed_workers.avoids(shard.books.worker, now)
+            avoided = step.failed_workers.avoids(shard.tracked.worker, now)
             self.assertTrue(avoided)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_what_fills_and_gets_nothing_does_not_close_its_worker(
         self,
     ) -> None:
         """It stands still while others use all there is, and goes elsewhere."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             shard.launch(shard.add(make_job(StepSpec(1, fills=True))))
             await asyncio.sleep(_SOON)
-            await shard.look()
-            run = next(iter(shard.books.run_by_key.values()))
+            await shard.poll()
+            run = next(iter(shard.tracked.run_by_key.values()))
             run.progress_at -= 2
-            await shard.look()
-            self.assertFalse(shard.books.stalled)
+            await shard.poll()
+            self.assertFalse(shard.tracked.stalled)
             await asyncio.sleep(_SOON)
             self.assertEqual([run.key], shard.worker.stops)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_long_run_moves_on_by_whole_percents(self) -> None:
         """One of 200 s needs 2 s for each, and its estimate may be far off."""
@@ -296,58 +298,58 @@
             self.assertTrue(run.stalled(last + 9), (share, estimate))
 
     def test_a_worker_that_fails_two_jobs_rests(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             for number in range(2, 5):
                 name = WorkerId(f'w-{number}')
-                shard.state.books_by_worker[name] = shard.books
+                shard.state.tracked_by_worker[name] = shard.tracked
             for number in range(2):
                 job = make_job(StepSpec(1))
                 job.job_id = JobId(f'{number:016x}')
                 shard.launch(shard.add(job))
                 await asyncio.sleep(_SOON)
-                self.assertTrue(shard.books.open(time.monotonic()))
+                self.assertTrue(shard.tracked.accepts_work(time.monotonic()))
                 shard.worker.end(shard.worker.starts[-1].key, RunEnding.FAILED)
-                await shard.look()
-            self.assertFalse(shard.books.open(time.monotonic()))
+                await shard.poll()
+            self.assertFalse(shard.tracked.accepts_work(time.monotonic()))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_run_is_stopped_however_long_its_worker_refuses(self) -> None:
         """Its lease is renewed with that of all others there."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             self.patch(runs, '_STOP_AGAIN', 0.001)
             shard.launch(shard.add(make_job(StepSpec(1))))
             await asyncio.sleep(_SOON)
             stop = shard.worker.stop
-            run = next(iter(shard.books.run_by_key.values()))
+            run = next(iter(shard.tracked.run_by_key.values()))
 
             async def refuse(*_: object) -> OrderAnswer:
                 return OrderAnswer(OrderResult.UNWELL)
 
             shard.worker.stop = refuse  # type: ignore[method-assign]
-            shard.runs.stop(shard.books, run)
+            shard.runs.stop(shard.tracked, run)
             await asyncio.sleep(2 * _SOON)
             shard.worker.stop = stop  # type: ignore[method-assign]
-            await shard.look()
+            await shard.poll()
             await asyncio.sleep(_SOON)
             self.assertIn(run.key, shard.worker.stops)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_unlogged_run_that_has_ended_counts(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1))
             step = shard.add(job)
             key = RunKey(step.tasks[0].key, RunNumber(2))
             shard.worker.end(key, RunEnding.DONE)
-            await shard.look()
+            await shard.poll()
             self.assertIs(JobPhase.COMPLETED, job.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_an_unlogged_run_replaces_the_one_that_was_logged(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             task = shard.add(job).tasks[0]
             gone = WorkerId('gone')
@@ -355,22 +357,22 @@
             shard.state.unresolved_by_worker[gone] = [(task, task.run)]
             key = RunKey(task.key, RunNumber(2))
             shard.worker.active[key] = ActiveRun(key, '', 50)
-            await shard.look()
+            await shard.poll()
             self.assertEqual(2, task.run)
-            shard.runs.give_up_worker(gone, LifeEnd.LEASE_ENDED)
+            shard.runs.give_up_worker(gone, IncarnationEnd.LEASE_EXPIRED)
             self.assertIs(TaskPhase.PLACED, task.phase)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_gang_that_lost_a_member_is_stopped(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, gang=True)))
             shard.launch(step)
             await asyncio.sleep(_SOON)
             first, second = (order.key for order in shard.worker.starts)
             shard.worker.end(first, RunEnding.LAPSED)
-            await shard.look()
+            await shard.poll()
             await asyncio.sleep(_SOON)
             self.assertEqual([second], shard.worker.stops)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_service_task_failures.py
+++ b/orchidrail/shard/tests/test_service_task_failures.py
@@ -23,19 +23,19 @@
     job.job_id = JobId(f'{number:016x}')
     shard.launch(shard.add(job))
     await asyncio.sleep(_SOON)
-    await shard.look()
+    await shard.poll()
 
 
 async def _fail_last(shard: Shard) -> None:
     """Let the run that was started last fail."""
     shard.worker.end(shard.worker.starts[-1].key, RunEnding.FAILED)
-    await shard.look()
+    await shard.poll()
 
 
 def _age_last(shard: Shard) -> None:
     """Let the run that was started last be at work for long."""
     key = shard.worker.starts[-1].key
-    shard.books.run_by_key[key].confirmed_at -= _LONG
+    shard.tracked.run_by_key[key].confirmed_at -= _LONG
 
 
 class SoundRunsTest(ShardTestCase):
@@ -43,65 +43,65 @@
         """Have more workers, so that one of them may rest."""
         for number in range(2, 12):
             name = WorkerId(f'w-{number}')
-            shard.state.books_by_worker[name] = shard.books
+            shard.state.tracked_by_worker[name] = shard.tracked
 
     def assert_open(self, shard: Shard, expected: bool) -> None:
-        self.assertIs(expected, shard.books.open(time.monotonic()))
+        self.assertIs(expected, shard.tracked.accepts_work(time.monotonic()))
 
     def test_one_that_works_on_clears_its_worker(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             self.add_others(shard)
             await _start(shard, 1, _SHORT)
             await _fail_last(shard)
             await _start(shard, 2, _LASTING)
             _age_last(shard)
-            await shard.look()
+            await shard.poll()
             await _start(shard, 3, _SHORT)
             await _fail_last(shard)
             self.assert_open(shard, expected=True)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_one_that_fails_after_long_says_nothing(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             self.add_others(shard)
             for number in range(3):
                 await _start(shard, number, _LASTING)
                 _age_last(shard)
-                await shard.look()
+                await shard.poll()
                 await _fail_last(shard)
             self.assert_open(shard, expected=True)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_one_that_fails_after_long_does_not_lengthen_a_rest(self) -> None:
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             self.add_others(shard)
             await _start(shard, 1, _LASTING)
             key = shard.worker.starts[-1].key
             _age_last(shard)
-            await shard.look()
+            await shard.poll()
             for number in (2, 3):
                 await _start(shard, number, _SHORT)
                 await _fail_last(shard)
-            until = shard.books.rests_until
+            until = shard.tracked.quarantined_until
             shard.worker.end(key, RunEnding.FAILED)
-            await shard.look()
-            self.assertEqual(until, shard.books.rests_until)
+            await shard.poll()
+            self.assertEqual(until, shard.tracked.quarantined_until)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_one_that_worked_before_does_not_clear_it_again(self) -> None:
         """It runs on where whatever is started fails from some time on."""
 
-        async def scene(shard: Shard) -> None:
+        async def scenario(shard: Shard) -> None:
             self.add_others(shard)
             await _start(shard, 1, _LASTING)
             _age_last(shard)
-            await shard.look()
+            await shard.poll()
             for number in (2, 3):
                 await _start(shard, number, _SHORT)
                 await _fail_last(shard)
             self.assert_open(shard, expected=False)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_tenant_ledger.py
+++ b/orchidrail/shard/tests/test_tenant_ledger.py
@@ -5,7 +5,7 @@
 import msgspec
 from testtools import TestCase
 
-from orchidrail.shard.tenant_ledger import Holding, TenantLedger
+from orchidrail.shard.tenant_ledger import QuotaUsage, TenantLedger
 from orchidrail.types import JobId, TenantId
 from orchidrail.work.job import Job
 from orchidrail.work.model import JobSpec, StepSpec
@@ -33,34 +33,34 @@
         self.ledger = TenantLedger(lambda name: Tenant(name, 1, self.maximum))
 
     def allowed(self, step: StepState) -> int:
-        return len(self.ledger.allow(step, step.tasks))
+        return len(self.ledger.within_limit(step, step.tasks))
 
     def test_a_gang_starts_whole_and_a_wide_step_in_waves(self) -> None:
-        self.ledger.take(Holding(_NAME, Size(35, 0)))
+        self.ledger.add(QuotaUsage(_NAME, Size(35, 0)))
         self.assertEqual(
             0, self.allowed(_step(StepSpec(8, Size(10), gang=True)))
         )
         self.assertEqual(6, self.allowed(_step(StepSpec(8, Size(10)))))
 
     def test_room_is_kept_for_urgent_work(self) -> None:
-        urgent = Holding(_NAME, Size(20, 0), urgent=True)
-        self.ledger.take(urgent)
-        self.ledger.give_back(urgent)
+        urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
+        self.ledger.add(urgent)
+        self.ledger.remove(urgent)
         self.assertEqual(8, self.allowed(_step(StepSpec(10, Size(10)))))
         step = _step(StepSpec(10, Size(10)), urgent=True)
         self.assertEqual(10, self.allowed(step))
 
     def test_nothing_is_kept_from_a_gang_that_would_never_fit(self) -> None:
-        urgent = Holding(_NAME, Size(20, 0), urgent=True)
-        self.ledger.take(urgent)
-        self.ledger.give_back(urgent)
+        urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
+        self.ledger.add(urgent)
+        self.ledger.remove(urgent)
         gang = _step(StepSpec(9, Size(10), gang=True))
         self.assertEqual(9, self.allowed(gang))
 
     def test_a_gang_above_a_lowered_limit_holds_nobody_up(self) -> None:
         """It waits for the limit to rise again; other work goes on."""
         gang = _step(StepSpec(8, Size(10), gang=True))
-        self.assertTrue(self.ledger.needs_most(gang))
+        self.assertTrue(self.ledger.needs_most_of_limit(gang))
         self.maximum = Size(60, 0)
         self.assertEqual(0, self.allowed(gang))
-        self.assertFalse(self.ledger.needs_most(gang))
+        self.assertFalse(self.ledger.needs_most_of_limit(gang))
--- a/orchidrail/shard/tests/test_waits_of_the_placer.py
+++ b/orchidrail/shard/tests/test_waits_of_the_placer.py
@@ -15,7 +15,7 @@
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.store import Topic
 from orchidrail.store.memory import MemoryStore
 from orchidrail.testing import AsyncTestCase
@@ -86,7 +86,7 @@
         self.answers.append(asyncio.get_running_loop().create_future())
         return await self.answers[-1]
 
-    async def add_worker(self, name: str, calls: FakeWorker) -> WorkerBooks:
+    async def add_worker(self, name: str, calls: FakeWorker) -> TrackedWorker:
         session = WorkerSession(
             make_entry(name),
             calls,
@@ -96,10 +96,10 @@
             self.clock,
             lambda: True,
         )
-        books = WorkerBooks(session, self.state.ledger)
-        self.state.books_by_worker[session.worker] = books
+        tracked = TrackedWorker(session, self.state.ledger)
+        self.state.tracked_by_worker[session.worker] = tracked
         await session._look()
-        return books
+        return tracked
 
     async def add(
         self,
@@ -127,20 +127,22 @@
         self.state.job_by_id[job.job_id] = job
         if advice is not None and known:
             # Their tickets have run out.
-            every = list(self.state.books_by_worker)
+            every = list(self.state.tracked_by_worker)
             permits = job.steps(0)[0].permits
             permits.learn(every, dict.fromkeys(every, 'old'), 0)
-        await self.look(job)
+        await self.poll(job)
         return job
 
-    async def look(self, job: Job) -> None:
+    async def poll(self, job: Job) -> None:
         self.state.note_change(job)
         self.state.wanted.set()
         await asyncio.sleep(_SOON)
 
 
 class WaitsOfPlacerTest(AsyncTestCase):
-    def play(self, scene: Callable[[_Scene], Awaitable[None]]) -> None:
+    def run_scenario(
+        self, scenario: Callable[[_Scene], Awaitable[None]]
+    ) -> None:
         """Run a scene beside the journal's writer and the placer."""
 
         async def run() -> None:
@@ -152,7 +154,7 @@
                 for work in (writer.run(), setting.placer.run())
             ]
             try:
-                await scene(setting)
+                await scenario(setting)
             finally:
                 setting.placer.close()
                 setting.runs.close()
@@ -167,19 +169,19 @@
         Workers that refuse by turns keep a task from ever being overdue.
         """
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             refuses = FakeWorker()
             refuses.start_result = OrderResult.UNWELL
-            books = await shard.add_worker('w-1', refuses)
-            books.rest(shard.clock(), 100)
+            tracked = await shard.add_worker('w-1', refuses)
+            tracked.quarantine(shard.clock(), 100)
             job = await shard.add('a', StepSpec(1, Size(1000, 1)))
             since = job.steps(0)[0].waits_since()
-            books.rests_until = 0
-            await shard.look(job)
+            tracked.quarantined_until = 0
+            await shard.poll(job)
             self.assertEqual(1, len(refuses.starts))
             self.assertEqual(since, job.steps(0)[0].waits_since())
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def play_rest(self, tasks: int) -> list[int]:
         """Return which tasks of a tenant that may run two still wait.
@@ -188,17 +190,17 @@
         """
         waiting: list[int] = []
 
-        async def scene(shard: _Scene) -> None:
-            books = await shard.add_worker('w-1', FakeWorker())
-            books.rest(shard.clock(), 100)
+        async def scenario(shard: _Scene) -> None:
+            tracked = await shard.add_worker('w-1', FakeWorker())
+            tracked.quarantine(shard.clock(), 100)
             tenant = Tenant(TenantId('stores'), 1, Size(8000, 0))
             spec = StepSpec(tasks, Size(4000, 1))
             job = await shard.add('a', spec, tenant=tenant)
             shard.passed = _LONG_WAIT
-            await shard.look(job)
+            await shard.poll(job)
             waiting.extend(_waiting_tasks(job))
 
-        self.play(scene)
+        self.run_scenario(scenario)
         return waiting
 
     def test_tasks_within_their_tenants_limit_do_not_wait_for_rests(
@@ -215,19 +217,19 @@
     def test_a_limit_lets_tasks_start_in_turn(self) -> None:
         """Guards against one task that fails and takes each turn."""
 
-        async def scene(shard: _Scene) -> None:
-            books = await shard.add_worker('w-1', FakeWorker())
-            books.rest(shard.clock(), 100)
+        async def scenario(shard: _Scene) -> None:
+            tracked = await shard.add_worker('w-1', FakeWorker())
+            tracked.quarantine(shard.clock(), 100)
             tenant = Tenant(TenantId('stores'), 1, Size(4000, 0))
             spec = StepSpec(3, Size(4000, 1))
             job = await shard.add('a', spec, tenant=tenant)
             shard.passed = _LONG_WAIT
             job.steps(0)[0].tasks[0].waits_since = shard.clock()
-            books.rests_until = 0
-            await shard.look(job)
+            tracked.quarantined_until = 0
+            await shard.poll(job)
             self.assertEqual([0, 2], _waiting_tasks(job))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_tenants_work_does_not_wait_for_good_behind_its_gang(
         self,
@@ -238,7 +240,7 @@
         eight.
         """
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1', FakeWorker())
             tenant = Tenant(TenantId('stores'), 1, Size(10_000, 0))
             urgent = StepSpec(1, Size(3000, 1))
@@ -248,15 +250,15 @@
             small = StepSpec(1, Size(1000, 1))
             job = await shard.add('c', small, tenant=tenant)
             shard.passed = 6 * _LONG_WAIT
-            await shard.look(job)
+            await shard.poll(job)
             self.assertEqual([], _waiting_tasks(job))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_renewals_do_not_keep_what_is_overdue_from_asking(self) -> None:
         """Guards against a line to which renewals come without limit."""
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1', FakeWorker())
             shard.desk.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000, 1))
@@ -265,30 +267,30 @@
             job = await shard.add('a', spec, advice=_LONG_COST, known=False)
             step = job.steps(0)[0]
             shard.passed = _LONG_WAIT
-            await shard.look(job)
+            await shard.poll(job)
             self.assertLess(0, step.permits.asking)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def renewed(self, names: int, closed: int = 0) -> list[WorkerId]:
         """Return whom an urgent step asks about, one task of which has room."""
         asked: list[WorkerId] = []
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             every = [
                 await shard.add_worker(f'w-{number:02d}', FakeWorker())
                 for number in range(names)
             ]
-            for books in every[1:]:
-                books.hold('other', books.free)
-            for books in every[1 : 1 + closed]:
-                books.listed = False
+            for tracked in every[1:]:
+                tracked.hold('other', tracked.free)
+            for tracked in every[1 : 1 + closed]:
+                tracked.listed = False
             shard.desk.use_lanes([InstanceId('lane')])
             spec = StepSpec(names, Size(60_000, 1))
             await shard.add('a', spec, priority=0, advice=_QUICK_COST)
             asked.extend(shard.asked[0])
 
-        self.play(scene)
+        self.run_scenario(scenario)
         return asked
 
     def test_a_quick_question_does_not_become_a_long_one(self) -> None:
@@ -314,7 +316,7 @@
         Another one that is open has room, and its ticket holds.
         """
 
-        async def scene(shard: _Scene) -> None:
+        async def scenario(shard: _Scene) -> None:
             first = await shard.add_worker('w-1', FakeWorker())
             second = await shard.add_worker('w-2', FakeWorker())
             second.hold('other', second.free)
@@ -328,11 +330,11 @@
                 {second.worker: 'new'},
                 until,
             )
-            second.unhold('other')
-            first.rest(shard.clock(), _LONG_WAIT)
+            second.release_hold('other')
+            first.quarantine(shard.clock(), _LONG_WAIT)
             tickets = dict.fromkeys(shard.asked[0], 'new')
             shard.answers[0].set_result(Advice(tickets, 1.5))
             await asyncio.sleep(_SOON)
             self.assertEqual(second.worker, step.tasks[0].worker)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_whole_wait.py
+++ b/orchidrail/shard/tests/test_whole_wait.py
@@ -14,7 +14,7 @@
 from orchidrail.shard.ranking import Timing
 from orchidrail.shard.tests.test_candidate_workers import advised, fill
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
-from orchidrail.shard.tracked_worker import WorkerBooks
+from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
@@ -41,19 +41,19 @@
     """Return where the tasks of a step go now."""
     found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
-    return [placement.books.worker for placement in chosen]
+    return [placement.tracked.worker for placement in chosen]
 
 
 class WholeWaitTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.books = [make_books(name, cores=_CORES) for name in _EVERY]
+        self.tracked = [make_books(name, cores=_CORES) for name in _EVERY]
 
     def pass_at(
         self,
         now: Seconds,
-        open_books: list[WorkerBooks],
-        resting: list[WorkerBooks],
+        open_books: list[TrackedWorker],
+        resting: list[TrackedWorker],
     ) -> Pass:
         return Pass(open_books, now, now, Headroom(), [], resting)
 
@@ -64,8 +64,8 @@
 
         One worker with room is no use to a gang that needs two.
         """
-        first, second = self.books[:2]
-        second.rest(0, 100)
+        first, second = self.tracked[:2]
+        second.quarantine(0, 100)
         workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
         gang = _waiting(StepSpec(2, _WHOLE, gang=True))
         self.assertEqual(['a', 'b'], sorted(_usable(workers, gang)))
@@ -74,8 +74,8 @@
         self,
     ) -> None:
         """Guards against an open worker that may hold no more of a step."""
-        first, second = self.books[:2]
-        second.rest(0, 100)
+        first, second = self.tracked[:2]
+        second.quarantine(0, 100)
         workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
         step = _waiting(StepSpec(2, Size(1000), most_per_worker=1))
         task = step.tasks[0]
@@ -88,9 +88,9 @@
 
         Users judge by what runs at the workers; nothing does here.
         """
-        for books in self.books[:5]:
-            books.hold(f'other-{books.worker}', _WHOLE)
-        workers = CandidateWorkers(self.books, _LONG_WAIT)
+        for tracked in self.tracked[:5]:
+            tracked.hold(f'other-{tracked.worker}', _WHOLE)
+        workers = CandidateWorkers(self.tracked, _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
     def test_idle_workers_that_are_closed_are_not_in_use(self) -> None:
@@ -98,9 +98,9 @@
 
         Users judge by the capacity of the service; a quarter is in use.
         """
-        for books in self.books[4:6]:
-            fill(books, _CORES)
-        workers = CandidateWorkers(self.books[4:], _LONG_WAIT)
+        for tracked in self.tracked[4:6]:
+            fill(tracked, _CORES)
+        workers = CandidateWorkers(self.tracked[4:], _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
     def test_a_step_that_may_go_to_resting_workers_is_looked_at(self) -> None:
@@ -109,8 +109,8 @@
         Half a second in which a step is passed over, beside 2 s of rest and
         a question, is more than the 3 s for which work may stand still.
         """
-        books = self.books[0]
-        books.rest(0, 100)
+        tracked = self.tracked[0]
+        tracked.quarantine(0, 100)
         step = _waiting(StepSpec(1, _WHOLE))
         waiting = WaitingStep(
             Timing(100, 110, 0, urgent=False),
@@ -118,14 +118,14 @@
             step.startable(),
         )
         before, after = 1.95, 2.1
-        waiting.note_no_room(self.pass_at(before, [], [books]))
-        this_pass = self.pass_at(after, [], [books])
+        waiting.note_no_room(self.pass_at(before, [], [tracked]))
+        this_pass = self.pass_at(after, [], [tracked])
         self.assertEqual(['a'], _usable(this_pass.workers, step))
         self.assertFalse(waiting.blocked(this_pass))
 
     def test_work_beyond_its_share_goes_behind_what_is_owed(self) -> None:
         """Guards against a tenant that floods the cell and goes first."""
-        this_pass = self.pass_at(_LONG_WAIT, self.books, [])
+        this_pass = self.pass_at(_LONG_WAIT, self.tracked, [])
         since = _LONG_WAIT - 1.1
         beyond = Timing(60, 61, since, urgent=False, beyond=True)
         owed = Timing(12, 13, _LONG_WAIT - 0.5, urgent=False)
@@ -141,13 +141,13 @@
         self,
     ) -> None:
         """Guards against attempts used up on a worker that is broken."""
-        books = self.books[0]
-        books.rest(0, 100)
+        tracked = self.tracked[0]
+        tracked.quarantine(0, 100)
         step = advised(StepSpec(1, _WHOLE), 'a', 'b')
         step.tasks[0].waits_since = 0
         step.noted_wait_since = 0
         step.failed_workers.note_failure(WorkerId('a'), _LONG_WAIT - 0.5)
-        other = self.books[1]
+        other = self.tracked[1]
         fill(other, _CORES)
-        workers = CandidateWorkers([other], _LONG_WAIT, resting=[books])
+        workers = CandidateWorkers([other], _LONG_WAIT, resting=[tracked])
         self.assertEqual([], _usable(workers, step))
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -7,9 +7,9 @@
 import msgspec
 from testtools import TestCase
 
-from orchidrail.shard.tracked_worker import PlacedRun, WorkerBooks
+from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.shard.worker_selection import choose_workers, matches_worker
-from orchidrail.shard.worker_speed import Pace
+from orchidrail.shard.worker_speed import SpeedClass
 from orchidrail.types import Epoch, RunNumber, TaskKey
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -21,7 +21,7 @@
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
 
-def make_books(name: str, cores: int = 4, rack: str = 'r-1') -> WorkerBooks:
+def make_books(name: str, cores: int = 4, rack: str = 'r-1') -> TrackedWorker:
     """Return the books of an idle worker."""
     entry = msgspec.structs.replace(
         make_entry(name, cores),
@@ -36,7 +36,7 @@
         time.monotonic,
         lambda: True,
     )
-    return WorkerBooks(session)
+    return TrackedWorker(session)
 
 
 def make_step(spec: StepSpec) -> StepState:
@@ -44,10 +44,10 @@
     return next(make_job(spec).open_steps(0))
 
 
-def _choose(spec: StepSpec, *books: WorkerBooks) -> list[str]:
+def _choose(spec: StepSpec, *tracked: TrackedWorker) -> list[str]:
     step = make_step(spec)
-    chosen = choose_workers(step, step.startable(), list(books))
-    return [placement.books.worker for placement in chosen]
+    chosen = choose_workers(step, step.startable(), list(tracked))
+    return [placement.tracked.worker for placement in chosen]
 
 
 class PlacingTest(TestCase):
@@ -93,21 +93,21 @@
         )
 
     def test_what_fills_is_kept_from_what_serves(self) -> None:
-        books = make_books('a')
+        tracked = make_books('a')
         serving = StepSpec(1, size=Size(10), target=0.1, lasting=True)
         filling = StepSpec(1, size=Size(10), fills=True)
         step = make_step(serving)
         key = RunKey(TaskKey(f'{step.key}.0'), RunNumber(1))
         run = PlacedRun(key, Size(10), step.tasks[0], 0)
-        books.charge(run, step.key)
-        self.assertFalse(books.bears(filling))
-        self.assertTrue(books.bears(serving))
-        books.release(key)
-        self.assertTrue(books.bears(filling))
+        tracked.allocate(run, step.key)
+        self.assertFalse(tracked.is_compatible(filling))
+        self.assertTrue(tracked.is_compatible(serving))
+        tracked.release(key)
+        self.assertTrue(tracked.is_compatible(filling))
 
     def test_urgent_work_leaves_slower_workers_to_other_work(self) -> None:
         slow, usual = make_books('slow'), make_books('usual', cores=8)
-        slow.pace = Pace.SLOWER
+        slow.speed_class = SpeedClass.SLOWER
         step = make_step(StepSpec(1, Size(1000)))
         urgent = msgspec.structs.replace(step.job.queue, priority=0)
         other = msgspec.structs.replace(step.job.queue, priority=1)
@@ -117,7 +117,7 @@
                 queue=queue,
             )
             chosen = choose_workers(step, step.startable(), [slow, usual])
-            self.assertEqual(expected, chosen[0].books.worker)
+            self.assertEqual(expected, chosen[0].tracked.worker)
 
     def test_a_gang_member_that_is_done_does_not_stand_still(self) -> None:
         step = make_step(StepSpec(2, gang=True))
--- a/orchidrail/shard/tracked_worker.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -9,11 +9,11 @@
 import msgspec
 
 from orchidrail.shard.tenant_ledger import (
-    Holding,
+    QuotaUsage,
     TenantLedger,
-    holding_of,
+    quota_usage_of,
 )
-from orchidrail.shard.worker_speed import Pace
+from orchidrail.shard.worker_speed import SpeedClass
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -35,7 +35,7 @@
 #: Time after its start within which a run counts as a cause of its worker's
 #: crash, a hundred times what it took where it was met. Longer, more runs are
 #: suspected that only happened to begin then, and trials last longer.
-PROVEN_AFTER: Seconds = 1.0
+STARTUP_CRASH_WINDOW: Seconds = 1.0
 
 
 class TaskRole(Enum):
@@ -43,9 +43,9 @@
 
     PLAIN = 'plain'
     #: Uses what others leave, and slows those that serve.
-    FILLS = 'fills'
+    BEST_EFFORT = 'fills'
     #: Serves users of its own, whose answers must stay quick.
-    SERVES = 'serves'
+    LATENCY_SENSITIVE = 'serves'
 
 
 #: Share from which a gang's member may wait for the others to end.
@@ -53,8 +53,8 @@
 #: Roles that are never put beside each other: a task that fills slows one
 #: that serves by an amount that shifts within seconds.
 _KEPT_APART = {
-    TaskRole.FILLS: TaskRole.SERVES,
-    TaskRole.SERVES: TaskRole.FILLS,
+    TaskRole.BEST_EFFORT: TaskRole.LATENCY_SENSITIVE,
+    TaskRole.LATENCY_SENSITIVE: TaskRole.BEST_EFFORT,
 }
 
 
@@ -64,11 +64,11 @@
     Examples
     --------
     >>> role_of(StepSpec(1, fills=True))
-    <TaskRole.FILLS: 'fills'>
+    <TaskRole.BEST_EFFORT: 'fills'>
     """
     if spec.fills:
-        return TaskRole.FILLS
-    return TaskRole.SERVES if spec.target else TaskRole.PLAIN
+        return TaskRole.BEST_EFFORT
+    return TaskRole.LATENCY_SENSITIVE if spec.target else TaskRole.PLAIN
 
 
 class PlacedRun(msgspec.Struct):
@@ -101,7 +101,7 @@
     #: When `share_done` changed last; 0 before the first listing shows it.
     progress_at: Seconds = 0
     #: What it takes of its tenant's limit, where no task tells.
-    left: Holding | None = None
+    left: QuotaUsage | None = None
     #: Whether its worker was found sound by it: it lasts, and worked on.
     sound: bool = False
     #: Since when its answers take longer than its target; infinite if they
@@ -109,9 +109,9 @@
     late_since: Seconds = math.inf
 
     @property
-    def holding(self) -> Holding | None:
+    def holding(self) -> QuotaUsage | None:
         """What it takes of its tenant's limit, as far as that is known."""
-        return self.left if self.task is None else holding_of(self.task)
+        return self.left if self.task is None else quota_usage_of(self.task)
 
     @property
     def in_doubt(self) -> bool:
@@ -150,7 +150,7 @@
         run.progress_at = now
 
 
-def note_answers(run: PlacedRun, tail: Seconds, now: Seconds) -> None:
+def note_latency(run: PlacedRun, tail: Seconds, now: Seconds) -> None:
     """Take how long the slowest answers of a run take, if it gives any."""
     target = run.task.step.spec.target if run.task else 0
     if not target or tail <= target:
@@ -166,7 +166,7 @@
     return run.size.millicores if run.task.step.job.urgent else 0
 
 
-class WorkerBooks:
+class TrackedWorker:
     """Room, runs and standing of one worker.
 
     Parameters
@@ -191,27 +191,27 @@
         self.held_by_step: dict[str, Size] = {}
         self.count_by_step: Counter[str] = Counter()
         #: Tasks here that fill, and tasks whose answers' times are watched.
-        self.count_by_role: Counter[TaskRole] = Counter()
+        self.count_by_qos_class: Counter[TaskRole] = Counter()
         #: What tasks of urgent queues use here.
         self.urgent_millicores = 0
-        self.rests_until: Seconds = 0
+        self.quarantined_until: Seconds = 0
         #: Whether something that runs here makes no progress.
         self.stalled = False
         #: When a worker at this address crashed last.
         self.crashed_at: Seconds = -math.inf
         #: Suspected runs that have not outlived their start.
-        self.trials: set[RunKey] = set()
+        self.isolated_runs: set[RunKey] = set()
         self._unsized = 0
-        self.pace = Pace.USUAL
+        self.speed_class = SpeedClass.TYPICAL
         #: Until then nothing that fills is put beside what serves here.
-        self.parted_until: Seconds = 0
+        self.best_effort_barred_until: Seconds = 0
         #: False once the worker's entry is gone for good: it has left, or
         #: leaves without having said so.
         self.listed = True
         #: Since when the worker has no entry in the store, if it has none.
         self.missing_since: Seconds | None = None
 
-    def left_by_itself(self) -> bool:
+    def left_voluntarily(self) -> bool:
         """Whether the worker had said, or shown, that it leaves.
 
         One that leaves without a word takes its entry away and serves on for
@@ -224,18 +224,18 @@
             return False
         return lost_at is None or self.missing_since < lost_at
 
-    def open(self, now: Seconds) -> bool:
+    def accepts_work(self, now: Seconds) -> bool:
         """Whether new work may go to the worker."""
-        return now >= self.rests_until and self.able
+        return now >= self.quarantined_until and self.available
 
     @property
-    def able(self) -> bool:
+    def available(self) -> bool:
         """Whether it could take new work, were it not for a rest."""
         session = self.session
         answers = session.reachable and not session.over
         if not answers or not self.listed:
             return False
-        if self._unsized or self.stalled or self.trials:
+        if self._unsized or self.stalled or self.isolated_runs:
             return False
         return self.entry.state is WorkerState.READY
 
@@ -248,13 +248,13 @@
         self.entry = entry
 
     @property
-    def overfull(self) -> bool:
+    def overcommitted(self) -> bool:
         """Whether more is placed here than the worker has room for now."""
         return min(self.free) < 0
 
-    def rest(self, now: Seconds, seconds: Seconds = _REST) -> None:
+    def quarantine(self, now: Seconds, seconds: Seconds = _REST) -> None:
         """Give the worker no new work for a while."""
-        self.rests_until = max(self.rests_until, now + seconds)
+        self.quarantined_until = max(self.quarantined_until, now + seconds)
 
     def has(self, run: PlacedRun) -> bool:
         """Whether just this run takes room here.
@@ -264,22 +264,22 @@
         """
         return self.run_by_key.get(run.key) is run
 
-    def charge(self, run: PlacedRun, step_key: str) -> None:
+    def allocate(self, run: PlacedRun, step_key: str) -> None:
         """Take room for a run; one that is known already is left alone."""
         if run.key in self.run_by_key:
             return
         self.run_by_key[run.key] = run
         if run.holding is not None:
-            self._ledger.take(run.holding)
+            self._ledger.add(run.holding)
         if run.size is None:
             self._unsized += 1
         else:
             self.free -= run.size
         self.count_by_step[step_key] += 1
         if run.trial:
-            self.trials.add(run.key)
+            self.isolated_runs.add(run.key)
         if run.task is not None:
-            self.count_by_role[role_of(run.task.step.spec)] += 1
+            self.count_by_qos_class[role_of(run.task.step.spec)] += 1
             self.urgent_millicores += _urgent_share(run)
 
     def release(self, key: RunKey) -> PlacedRun | None:
@@ -287,9 +287,9 @@
         run = self.run_by_key.pop(key, None)
         if run is None:
             return None
-        self.trials.discard(key)
+        self.isolated_runs.discard(key)
         if run.holding is not None:
-            self._ledger.give_back(run.holding)
+            self._ledger.remove(run.holding)
         if run.size is None:
             self._unsized -= 1
         else:
@@ -297,7 +297,7 @@
         step_key = key.task.rpartition('.')[0]
         self.count_by_step[step_key] -= 1
         if run.task is not None:
-            self.count_by_role[role_of(run.task.step.spec)] -= 1
+            self.count_by_qos_class[role_of(run.task.step.spec)] -= 1
             self.urgent_millicores -= _urgent_share(run)
         if not self.count_by_step[step_key]:
             self.count_by_step.pop(step_key)
@@ -313,7 +313,7 @@
         """The room that is kept for steps that wait for their tickets."""
         return sum(self.held_by_step.values(), Size())
 
-    def unhold(self, step_key: str) -> bool:
+    def release_hold(self, step_key: str) -> bool:
         """Give back the room that was kept for a step; tell if there was."""
         size = self.held_by_step.pop(step_key, None)
         if size is None:
@@ -321,7 +321,7 @@
         self.free += size
         return True
 
-    def at_stake(self) -> tuple[int, Seconds, int]:
+    def isolation_cost(self) -> tuple[int, Seconds, int]:
         """Return how ill a trial would go here, the least first.
 
         That is by the young runs that a crash here would involve; then by when
@@ -350,16 +350,16 @@
         A task that ends its workers does so at once: 10 ms after each start
         where it was met.
         """
-        return self.outlived(run) >= PROVEN_AFTER
+        return self.outlived(run) >= STARTUP_CRASH_WINDOW
 
-    def bears(self, spec: StepSpec) -> bool:
+    def is_compatible(self, spec: StepSpec) -> bool:
         """Whether a step's tasks get on with what runs here."""
         other = _KEPT_APART.get(role_of(spec))
-        return other is None or not self.count_by_role[other]
+        return other is None or not self.count_by_qos_class[other]
 
-    def copies(self, step_key: str, size: Size, most: int) -> int:
+    def slots_for(self, step_key: str, size: Size, most: int) -> int:
         """Return how many more tasks of a step have room here."""
-        if self.trials:
+        if self.isolated_runs:
             return 0
         fitting = size.times_in(self.free)
         if most:
--- a/orchidrail/shard/unresolved_runs.py
+++ b/orchidrail/shard/unresolved_runs.py
@@ -5,9 +5,9 @@
 from collections import UserDict, defaultdict
 
 from orchidrail.shard.tenant_ledger import (
-    Holding,
+    QuotaUsage,
     TenantLedger,
-    holding_of,
+    quota_usage_of,
 )
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.step import Task
@@ -27,43 +27,43 @@
     def __init__(self, ledger: TenantLedger) -> None:
         """Know of none."""
         self._ledger = ledger
-        self._left_by_worker: defaultdict[WorkerId, dict[RunKey, Holding]] = (
-            defaultdict(dict)
-        )
+        self._left_by_worker: defaultdict[
+            WorkerId, dict[RunKey, QuotaUsage]
+        ] = defaultdict(dict)
         super().__init__()
 
     def __setitem__(self, worker: WorkerId, placed: _Placed) -> None:
         """Take the runs of a worker, in place of those known so far."""
         for task, _ in self.data.get(worker, ()):
-            self._ledger.give_back(holding_of(task))
+            self._ledger.remove(quota_usage_of(task))
         for task, _ in placed:
-            self._ledger.take(holding_of(task))
+            self._ledger.add(quota_usage_of(task))
         super().__setitem__(worker, placed)
 
-    def settle(self, worker: WorkerId) -> _Placed:
+    def pop_runs(self, worker: WorkerId) -> _Placed:
         """Forget the runs of a worker, heard of or over, and return them."""
         placed = self.data.pop(worker, [])
         for task, _ in placed:
-            self._ledger.give_back(holding_of(task))
+            self._ledger.remove(quota_usage_of(task))
         for holding in self._left_by_worker.pop(worker, {}).values():
-            self._ledger.give_back(holding)
+            self._ledger.remove(holding)
         return placed
 
     def add(self, worker: WorkerId, placed: _Placed) -> None:
         """Add runs to those of a worker."""
         self[worker] = [*self.get(worker, ()), *placed]
 
-    def add_left(
+    def add_lingering(
         self,
         worker: WorkerId,
         key: RunKey,
-        holding: Holding,
+        holding: QuotaUsage,
     ) -> None:
         """Add what an ended job may have left on a worker."""
         self.setdefault(worker, [])
-        self._ledger.take(holding)
+        self._ledger.add(holding)
         self._left_by_worker[worker][key] = holding
 
-    def left_on(self, worker: WorkerId, key: RunKey) -> Holding | None:
+    def lingering_on(self, worker: WorkerId, key: RunKey) -> QuotaUsage | None:
         """Return what a run of an ended job takes, if it was known of."""
         return self._left_by_worker.get(worker, {}).get(key)
--- a/orchidrail/shard/worker_contact.py
+++ b/orchidrail/shard/worker_contact.py
@@ -10,7 +10,7 @@
 from orchidrail.work.step import StepState
 
 
-def silent_for(state: ShardState, step: StepState) -> Seconds:
+def longest_silence(state: ShardState, step: StepState) -> Seconds:
     """Return for how long the most silent worker of a step was not heard.
 
     Returns
@@ -27,6 +27,6 @@
 
 def _heard_at(state: ShardState, worker: WorkerId) -> Seconds:
     """Return when a worker was heard last, by this owner or since it began."""
-    books = state.books_by_worker.get(worker)
-    heard_at = -math.inf if books is None else books.session.heard_at
+    tracked = state.tracked_by_worker.get(worker)
+    heard_at = -math.inf if tracked is None else tracked.session.heard_at
     return max(heard_at, state.began_at)
--- a/orchidrail/shard/worker_speed.py
+++ b/orchidrail/shard/worker_speed.py
@@ -21,12 +21,12 @@
 _FAR_SLOWER = 2.0
 
 
-class Pace(IntEnum):
+class SpeedClass(IntEnum):
     """How a worker compares with the others of its service."""
 
-    USUAL = 0
+    TYPICAL = 0
     SLOWER = 1
-    FAR_SLOWER = 2
+    MUCH_SLOWER = 2
 
 
 class _Mean:
@@ -39,18 +39,18 @@
         self.value += max(weight, 1 / self.count) * (value - self.value)
 
 
-class Paces:
+class SpeedEstimator:
     """Compares how long tasks took with what their callers estimated.
 
     Examples
     --------
-    >>> paces = Paces()
+    >>> speeds = SpeedEstimator()
     >>> queue, fast, slow = QueueName('q'), WorkerId('f'), WorkerId('s')
     >>> for _ in range(50):
-    ...     paces.note(fast, queue, took=1.0, estimate=2)
-    ...     paces.note(slow, queue, took=1.5, estimate=2)
-    >>> paces.of(fast), paces.of(slow)
-    (<Pace.USUAL: 0>, <Pace.SLOWER: 1>)
+    ...     speeds.note(fast, queue, took=1.0, estimate=2)
+    ...     speeds.note(slow, queue, took=1.5, estimate=2)
+    >>> speeds.of(fast), speeds.of(slow)
+    (<SpeedClass.TYPICAL: 0>, <SpeedClass.SLOWER: 1>)
     """
 
     def __init__(self) -> None:
@@ -74,14 +74,18 @@
         mean = self._mean_by_worker.setdefault(worker, _Mean())
         mean.note(ratio - usual.value, _WEIGHT)
 
-    def of(self, worker: WorkerId) -> Pace:
+    def of(self, worker: WorkerId) -> SpeedClass:
         """Return a worker's pace."""
         mean = self._mean_by_worker.get(worker)
         if mean is None or mean.count < _ENOUGH:
-            return Pace.USUAL
+            return SpeedClass.TYPICAL
         if mean.value > math.log(_FAR_SLOWER):
-            return Pace.FAR_SLOWER
-        return Pace.SLOWER if mean.value > math.log(_SLOWER) else Pace.USUAL
+            return SpeedClass.MUCH_SLOWER
+        return (
+            SpeedClass.SLOWER
+            if mean.value > math.log(_SLOWER)
+            else SpeedClass.TYPICAL
+        )
 
     def forget(self, worker: WorkerId) -> None:
         """Forget a worker that is gone."""
--- a/orchidrail/workers/run_lease.py
+++ b/orchidrail/workers/run_lease.py
@@ -22,13 +22,13 @@
     ----------
     longest : float
         Seconds that one renewal may last.
-    doubt_until : float
+    prior_leases_end : float
         Our clock's time before which a renewal by an earlier owner of the
         worker may still last.
 
     Examples
     --------
-    >>> lease = RunLease(longest=6, doubt_until=0)
+    >>> lease = RunLease(longest=6, prior_leases_end=0)
     >>> lease.observe(clock=100, at=50)
     >>> lease.renew(now=51)
     107
@@ -36,10 +36,10 @@
     (False, True)
     """
 
-    def __init__(self, longest: Seconds, doubt_until: Seconds) -> None:
+    def __init__(self, longest: Seconds, prior_leases_end: Seconds) -> None:
         """Start without knowing the worker's clock."""
         self._longest = longest
-        self._doubt_until = doubt_until
+        self._prior_leases_end = prior_leases_end
         self._clock: Seconds | None = None
         self._observed_at: Seconds = 0
         self._latest: Seconds = -_NEVER
@@ -82,9 +82,9 @@
         """Tell whether all that ran under the lease has surely ended.
 
         A worker that has answered takes no renewal of an earlier owner any
-        more: only one that never did is left to `doubt_until`.
+        more: only one that never did is left to `prior_leases_end`.
         """
         if self._clock is None:
-            return now > self._doubt_until
+            return now > self._prior_leases_end
         passed = (now - self._observed_at) * (1 - SLOWEST_CLOCK)
         return self._clock + passed > self._latest
--- a/orchidrail/workers/tests/test_lease.py
+++ b/orchidrail/workers/tests/test_lease.py
@@ -14,12 +14,12 @@
 
 class LeaseTest(TestCase):
     def test_an_unmet_worker_is_doubted_until_a_time(self) -> None:
-        lease = RunLease(_LONGEST, doubt_until=20)
+        lease = RunLease(_LONGEST, prior_leases_end=20)
         self.assertFalse(lease.ended(20))
         self.assertTrue(lease.ended(20.1))
 
     def test_an_answer_that_was_overtaken_changes_nothing(self) -> None:
-        lease = RunLease(_LONGEST, doubt_until=0)
+        lease = RunLease(_LONGEST, prior_leases_end=0)
         lease.observe(clock=110, at=60)
         lease.observe(clock=101, at=61)
         self.assertEqual(111, lease.clock_at(61))
@@ -38,7 +38,7 @@
         passed: float,
     ) -> None:
         """The worker's clock starts at 0 with ours and runs at `rate`."""
-        lease = RunLease(_LONGEST, doubt_until=0)
+        lease = RunLease(_LONGEST, prior_leases_end=0)
         lease.observe(clock=0, at=delay)
         end = lease.renew(delay + renewed)
         now = delay + renewed + passed
--- a/standins/model/cell.py
+++ b/standins/model/cell.py
@@ -271,9 +271,9 @@
         for _ in range(int(self._load.lasts / _SAMPLE_EVERY)):
             await asyncio.sleep(_SAMPLE_EVERY)
             whole, free = Size(), Size()
-            for books in owner.state.books_by_worker.values():
-                whole += books.entry.capacity
-                free += books.free
+            for tracked in owner.state.tracked_by_worker.values():
+                whole += tracked.entry.capacity
+                free += tracked.free
             share = free.millicores / max(1, whole.millicores)
             self._busy.append(1 - share)
             waits = owner.placer.waiting_tasks() > 0
--- a/standins/model/liveness.py
+++ b/standins/model/liveness.py
@@ -65,10 +65,10 @@
 
 def _half_is_free(owner: ShardOwner, now: Seconds) -> bool:
     whole, free = Size(), Size()
-    for books in owner.state.books_by_worker.values():
-        whole += books.entry.capacity
-        if books.open(now):
-            free += books.free
+    for tracked in owner.state.tracked_by_worker.values():
+        whole += tracked.entry.capacity
+        if tracked.accepts_work(now):
+            free += tracked.free
     return _HALVES * free.millicores > whole.millicores
 
 
@@ -81,8 +81,10 @@
     size = step.spec.charged
     at_once = step.spec.count if step.spec.gang else 1
     rooms = 0
-    for books in owner.state.books_by_worker.values():
+    for tracked in owner.state.tracked_by_worker.values():
         good = step.permits.good
-        if step.job.queue.advice is None or books.worker in good:
-            rooms += books.copies(step.key, size, step.spec.most_per_worker)
+        if step.job.queue.advice is None or tracked.worker in good:
+            rooms += tracked.slots_for(
+                step.key, size, step.spec.most_per_worker
+            )
     return rooms >= _HALVES * at_once
