--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
@@ -80,7 +80,7 @@
         self.placer = Placer(
             self.state,
             cast('Any', self.runs),
-            AdviceDesk(cast('Any', None), time.monotonic),
+            AdviceDispatcher(cast('Any', None), time.monotonic),
         )
         for number in range(workers):
             self._add_worker(f'w-{number}')
@@ -112,7 +112,7 @@
         every = list(self.state.tracked_by_worker)
         good = self.random.sample(every, max(1, int(_GOOD_SHARE * len(every))))
         tickets = {WorkerId(worker): 't' for worker in good}
-        waiting.permits.learn(every, tickets, time.monotonic() + 1e6)
+        waiting.permits.record_advice(every, tickets, time.monotonic() + 1e6)
         self.state.job_by_id[job.job_id] = job
         self.state.changed_jobs.add(job.job_id)
 
--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -7,7 +7,7 @@
 
 from orchidrail.cli.explain import LogLine, is_over
 from orchidrail.shard.eligibility import IneligibleReason
-from orchidrail.shard.pending_advice import QuestionState
+from orchidrail.shard.pending_advice import AdviceRequestState
 
 _WAITING = 'tasks wait'
 _WORDS_BY_OBSTACLE = {
@@ -33,8 +33,8 @@
     IneligibleReason.NONE.value: 'with nothing that keeps them from it',
 }
 _WORDS_BY_STATE = {
-    QuestionState.LINE.value: 'for a lane',
-    QuestionState.CALL.value: 'for its answer',
+    AdviceRequestState.QUEUED.value: 'for a lane',
+    AdviceRequestState.IN_FLIGHT.value: 'for its answer',
 }
 
 
--- a/orchidrail/ingress/job_forwarder.py
+++ b/orchidrail/ingress/job_forwarder.py
@@ -36,7 +36,7 @@
     JobPhase,
     encode,
 )
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 
 _log = structlog.get_logger()
 #: Pause before the owner is looked for again.
@@ -88,7 +88,7 @@
 
 def _answer_of(state: StoredState, tenant: TenantId) -> DeskAnswer:
     """Tell a tenant of a job that the journal has."""
-    if not state.is_of(tenant):
+    if not state.visible_to(tenant):
         return DeskAnswer(WorkCode.NO_SUCH_JOB)
     return DeskAnswer(WorkCode.OK, state.phase, cause=state.cause)
 
@@ -135,7 +135,7 @@
         queue: QueueSettings,
         spec: JobSpec,
         patience: Seconds,
-        tenant: Tenant = NOBODY,
+        tenant: Tenant = ANONYMOUS_TENANT,
     ) -> DeskAnswer:
         """Have a job accepted, within the caller's patience.
 
@@ -167,7 +167,7 @@
                 queue=encode(queue),
                 spec=encode(spec),
                 patience=left,
-                tenant=b'' if tenant is NOBODY else encode(tenant),
+                tenant=b'' if tenant is ANONYMOUS_TENANT else encode(tenant),
             )
             answer = await self._try_submit(message)
             if answer.code in _FINAL:
--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -229,7 +229,7 @@
             self._ask_advice,
             elapsed,
             time.time,
-            self.table.store_away,
+            self.table.store_unreachable,
             lease_duration(self.settings.bounds.longest_lease),
             self.settings.bounds.stop_takes,
             self.settings.bounds.status_kept,
@@ -241,7 +241,7 @@
     def _doubt_connections(self) -> None:
         owner = self.ownership.owner
         if owner is not None:
-            owner.doubt_connections()
+            owner.check_connections_soon()
 
     def _note_drop(self, reason: DropReason) -> None:
         self.metrics.connections_dropped.labels(reason.value).inc()
--- a/orchidrail/instance/peer_service.py
+++ b/orchidrail/instance/peer_service.py
@@ -27,7 +27,7 @@
 )
 from orchidrail.work.model import QueueSettings
 from orchidrail.work.records import decode_spec, decode_tenant
-from orchidrail.work.tenant import NOBODY
+from orchidrail.work.tenant import ANONYMOUS_TENANT
 from orchidrail.workers.port import AdviceCalls
 
 if TYPE_CHECKING:
@@ -101,9 +101,13 @@
         if owner is None:
             return _NOT_OWNER
         spec = decode_spec(message.spec)
-        tenant = decode_tenant(message.tenant) if message.tenant else NOBODY
+        tenant = (
+            decode_tenant(message.tenant)
+            if message.tenant
+            else ANONYMOUS_TENANT
+        )
         queue = _decode_queue(message.queue)
-        objection = owner.objection(message.job_id, queue, spec, tenant)
+        objection = owner.find_rejection(message.job_id, queue, spec, tenant)
         if objection is not None:
             return WorkAnswer(
                 code=objection.code,
@@ -123,8 +127,8 @@
         owner = self._ownership.owner
         if owner is None:
             return _NOT_OWNER
-        state = owner.state_of(message.job_id)
-        if state is None or not state.is_of(message.tenant):
+        state = owner.job_state(message.job_id)
+        if state is None or not state.visible_to(message.tenant):
             return await _unknown_job(owner)
         return WorkAnswer(
             code=WorkCode.OK,
@@ -137,8 +141,8 @@
         owner = self._ownership.owner
         if owner is None:
             return _NOT_OWNER
-        state = owner.state_of(message.job_id)
-        if state is not None and not state.is_of(message.tenant):
+        state = owner.job_state(message.job_id)
+        if state is not None and not state.visible_to(message.tenant):
             return await _unknown_job(owner)
         try:
             phase = await owner.cancel(message.job_id)
--- a/orchidrail/peers/table.py
+++ b/orchidrail/peers/table.py
@@ -147,7 +147,7 @@
             if known.store_answers and now - known.heard_at < HEARD_FOR
         ]
 
-    def store_away(self) -> bool:
+    def store_unreachable(self) -> bool:
         """Whether the store answers nobody while this process owns.
 
         Peers of all zones must be heard, and none may know of a newer owner.
--- a/orchidrail/peers/tests/test_table.py
+++ b/orchidrail/peers/tests/test_table.py
@@ -56,27 +56,27 @@
     def test_the_store_is_away_only_if_all_zones_say_so(self) -> None:
         me = self.table.me.name
         self.table.learn_claim(OwnerClaim(Epoch(1), me))
-        self.assertFalse(self.table.store_away())
+        self.assertFalse(self.table.store_unreachable())
         silent = make_state('a', 'z-2')
         self.table.hear(silent)
         self.table.hear(make_state('b', 'z-3'))
-        self.assertTrue(self.table.store_away())
+        self.assertTrue(self.table.store_unreachable())
         self.table.hear(msgspec.structs.replace(silent, store_answers=True))
-        self.assertFalse(self.table.store_away())
+        self.assertFalse(self.table.store_unreachable())
         self.table.hear(silent)
-        self.assertTrue(self.table.store_away())
+        self.assertTrue(self.table.store_unreachable())
         self.now += 2
         self.table.hear(silent)
-        self.assertFalse(self.table.store_away())
+        self.assertFalse(self.table.store_unreachable())
 
     def test_an_owner_that_was_replaced_does_not_hold_the_store_for_away(
         self,
     ) -> None:
         self.table.learn_claim(OwnerClaim(Epoch(1), self.table.me.name))
         self.table.hear(make_state('a', 'z-2'))
-        self.assertTrue(self.table.store_away())
+        self.assertTrue(self.table.store_unreachable())
         self.table.hear(make_state('b', 'z-2', epoch=2))
-        self.assertFalse(self.table.store_away())
+        self.assertFalse(self.table.store_unreachable())
 
     def test_a_process_that_has_just_started_is_not_cut_off(self) -> None:
         other = MemberInfo(InstanceId('a'), Address('a:1'), 'z-2', 'a-1')
--- a/orchidrail/platform/documents.py
+++ b/orchidrail/platform/documents.py
@@ -239,6 +239,6 @@
         lasting=step.long_running,
         image=step.image,
         target=step.target_ms / _MILLIS,
-        fills=step.fills,
+        best_effort=step.fills,
         may_miss=step.may_miss,
     )
--- a/orchidrail/properties/test_tenant_ledger.py
+++ b/orchidrail/properties/test_tenant_ledger.py
@@ -87,7 +87,7 @@
         count=st.integers(1, 6),
         cores=st.integers(1, 4),
         gang=st.booleans(),
-        fills=st.booleans(),
+        best_effort=st.booleans(),
         number=st.integers(0, _WORKERS - 1),
     )
     def place(
@@ -96,14 +96,16 @@
         count: int,
         cores: int,
         gang: bool,
-        fills: bool,
+        best_effort: bool,
         number: int,
     ) -> None:
         """Place what the ledger allows of a new job's step."""
         if number not in self.met:
             return
         tenant = self.tenant_by_name[TenantId(name)]
-        step = StepSpec(count, Size(cores * 1000, 1), gang=gang, fills=fills)
+        step = StepSpec(
+            count, Size(cores * 1000, 1), gang=gang, best_effort=best_effort
+        )
         record = JobRecord(_QUEUE, JobSpec('', (step,)), 0, tenant)
         job = Job(JobId(f'{len(self.jobs):016x}'), record)
         self.jobs.append(job)
--- a/orchidrail/shard/admission.py
+++ b/orchidrail/shard/admission.py
@@ -9,7 +9,7 @@
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.stored_state import StoredState
 from orchidrail.types import Seconds, TenantId, WorkCode
-from orchidrail.work.model import JobSpec, QueueSettings, size_at_once
+from orchidrail.work.model import JobSpec, QueueSettings, concurrent_size
 from orchidrail.work.tenant import Tenant
 
 _log = structlog.get_logger()
@@ -102,7 +102,7 @@
 
     def _fits(self, spec: JobSpec, current: Tenant) -> bool:
         for number, step in enumerate(spec.steps):
-            at_once = size_at_once(step)
+            at_once = concurrent_size(step)
             if not current.ever_fits(at_once):
                 _log.info(
                     'job never fits its tenant',
--- a/orchidrail/shard/advice_dispatcher.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -16,11 +16,11 @@
 
 from orchidrail.background_tasks import TaskSet
 from orchidrail.shard.advice_queue import (
-    LONGEST_WAIT,
+    MAX_QUEUE_WAIT,
+    AdviceQueue,
     PendingAnswer,
     Question,
-    QuestionLine,
-    WaitingQuestion,
+    QueuedAdviceRequest,
 )
 from orchidrail.shard.decaying_peak import DecayingPeak
 from orchidrail.types import InstanceId, Seconds, WorkerId
@@ -28,13 +28,13 @@
 
 _log = structlog.get_logger()
 #: Calls above this length keep out of the quick lanes.
-_LONG: Seconds = 0.15
+_LONG_CALL: Seconds = 0.15
 #: Most of the lanes that are ever kept from long calls, as a share.
-_MOST_KEPT = 0.4
+_MAX_RESERVED_SHARE = 0.4
 #: Time beyond the expected one after which a call is given up.
-_SLACK: Seconds = 1.0
+_TIMEOUT_MARGIN: Seconds = 1.0
 #: Factor on the expected time, since the service may be slow.
-_PATIENCE = 2
+_TIMEOUT_FACTOR = 2
 #: A call that takes longer than so many times what is expected, and this much
 #: more, is made through another lane as well: its answer travels in 4 ms, and
 #: an urgent job has 0.3 to 0.6 s to spare.
@@ -42,18 +42,18 @@
 _LATE_AFTER: Seconds = 0.15
 _MOMENT: Seconds = 0.01
 #: When a long question that still waits may take any lane.
-_LATE_LONG_AFTER: Seconds = LONGEST_WAIT + _MOMENT
+_LATE_LONG_AFTER: Seconds = MAX_QUEUE_WAIT + _MOMENT
 #: For how long a lane that failed is not used.
-_LANE_REST: Seconds = 1.0
+_LANE_BACKOFF: Seconds = 1.0
 _TRIES = 4
 
-AskThrough = Callable[
+CallAdvice = Callable[
     [InstanceId, str, list[WorkerId], Seconds],
     Awaitable[Advice | None],
 ]
 
 
-class AdviceDesk:
+class AdviceDispatcher:
     """Deals questions out to lanes.
 
     Parameters
@@ -64,12 +64,12 @@
         Monotonic seconds.
     """
 
-    def __init__(self, ask: AskThrough, clock: Callable[[], Seconds]) -> None:
+    def __init__(self, ask: CallAdvice, clock: Callable[[], Seconds]) -> None:
         """Start without lanes."""
         self._ask = ask
         self._clock = clock
-        self._short = QuestionLine(clock)
-        self._long = QuestionLine(clock)
+        self._short = AdviceQueue(clock)
+        self._long = AdviceQueue(clock)
         self._lanes: set[InstanceId] = set()
         self._idle: list[InstanceId] = []
         self._busy: set[InstanceId] = set()
@@ -116,8 +116,8 @@
         self._tasks.close()
 
     def _put(self, question: Question, pending: PendingAnswer) -> None:
-        waiting = WaitingQuestion(question, pending, self._clock())
-        long = question.duration > _LONG
+        waiting = QueuedAdviceRequest(question, pending, self._clock())
+        long = question.duration > _LONG_CALL
         (self._long if long else self._short).put(waiting)
         self._deal()
         if long:
@@ -128,7 +128,9 @@
         """Return how many lanes long calls leave to short ones."""
         count = len(self._lanes)
         wanted = math.ceil(self._short_peak.at(self._clock()))
-        return max(min(count - 1, 1), min(wanted, int(count * _MOST_KEPT)))
+        return max(
+            min(count - 1, 1), min(wanted, int(count * _MAX_RESERVED_SHARE))
+        )
 
     def _deal(self) -> None:
         """Give idle lanes what waits."""
@@ -140,7 +142,7 @@
             self._busy.add(lane)
             self._tasks.spawn(self._call(lane, waiting))
 
-    def _take(self) -> WaitingQuestion | None:
+    def _take(self) -> QueuedAdviceRequest | None:
         """Take a short call, else a long one.
 
         One that is late may take any lane that is idle. Where there is but one
@@ -156,12 +158,14 @@
 
     def _long_is_late(self) -> bool:
         since = self._long.oldest_since()
-        return since is not None and self._clock() - since > LONGEST_WAIT
+        return since is not None and self._clock() - since > MAX_QUEUE_WAIT
 
     def _long_allowed(self) -> bool:
         return self._long_calls < len(self._lanes) - self._kept_from_long()
 
-    async def _call(self, lane: InstanceId, waiting: WaitingQuestion) -> None:
+    async def _call(
+        self, lane: InstanceId, waiting: QueuedAdviceRequest
+    ) -> None:
         question = waiting.question
         advice: Advice | None = None
         self._count_call(question, 1)
@@ -177,7 +181,7 @@
                     lane,
                     question.step_key,
                     question.workers,
-                    question.duration * _PATIENCE + _SLACK,
+                    question.duration * _TIMEOUT_FACTOR + _TIMEOUT_MARGIN,
                 )
         finally:
             late.cancel()
@@ -186,7 +190,7 @@
             _log.info('no advice', lane=lane, step=question.step_key)
         self._deal()
 
-    def _ask_again(self, waiting: WaitingQuestion) -> None:
+    def _ask_again(self, waiting: QueuedAdviceRequest) -> None:
         """Ask through another lane beside a call that is late.
 
         The lane's machine, or a connection on the way, may be silent for good.
@@ -198,7 +202,7 @@
     def _end_call(
         self,
         lane: InstanceId,
-        waiting: WaitingQuestion,
+        waiting: QueuedAdviceRequest,
         advice: Advice | None,
     ) -> None:
         self._count_call(waiting.question, -1)
@@ -206,7 +210,7 @@
         self._free(lane, rests=advice is None)
 
     def _count_call(self, question: Question, change: int) -> None:
-        if question.duration > _LONG:
+        if question.duration > _LONG_CALL:
             self._long_calls += change
         else:
             self._short_calls += change
@@ -216,7 +220,7 @@
         if rests:
             self._resting.add(lane)
             loop = asyncio.get_running_loop()
-            loop.call_later(_LANE_REST, self._end_rest, lane)
+            loop.call_later(_LANE_BACKOFF, self._end_rest, lane)
         elif lane in self._lanes:
             self._idle.append(lane)
 
--- a/orchidrail/shard/advice_queue.py
+++ b/orchidrail/shard/advice_queue.py
@@ -17,7 +17,7 @@
 _OLDEST_EVERY = 4
 #: A question that has waited for longer goes first, the oldest of them. Work
 #: may stand still for 3 s; the call itself, and a second one, take the rest.
-LONGEST_WAIT: Seconds = 1.0
+MAX_QUEUE_WAIT: Seconds = 1.0
 
 
 def _always() -> bool:
@@ -62,7 +62,7 @@
             self.future.set_result(advice)
 
 
-class WaitingQuestion:
+class QueuedAdviceRequest:
     """A question that waits for a lane or is being asked.
 
     Parameters
@@ -92,7 +92,7 @@
         return not self.pending.future.done() and self.question.needed()
 
 
-class QuestionLine:
+class AdviceQueue:
     """Questions in order of their rank, and of their age.
 
     The most pressing go first, but none waits for long while others keep
@@ -111,8 +111,10 @@
         """Start empty."""
         self._clock = clock
         self._numbers = itertools.count()
-        self._by_rank: list[tuple[tuple[float, ...], int, WaitingQuestion]] = []
-        self._by_age: deque[WaitingQuestion] = deque()
+        self._by_rank: list[
+            tuple[tuple[float, ...], int, QueuedAdviceRequest]
+        ] = []
+        self._by_age: deque[QueuedAdviceRequest] = deque()
         self._waiting = 0
         self._taken = 0
 
@@ -126,14 +128,14 @@
             self._by_age.popleft()
         return self._by_age[0].since if self._by_age else None
 
-    def put(self, waiting: WaitingQuestion) -> None:
+    def put(self, waiting: QueuedAdviceRequest) -> None:
         """Let a question wait."""
         self._waiting += 1
         entry = (waiting.question.rank, next(self._numbers), waiting)
         heapq.heappush(self._by_rank, entry)
         self._by_age.append(waiting)
 
-    def take(self) -> WaitingQuestion | None:
+    def take(self) -> QueuedAdviceRequest | None:
         """Take the next question of use; drop those that are not."""
         while self._waiting:
             oldest = self._is_turn_of_oldest()
@@ -150,15 +152,15 @@
         if not (self._taken + 1) % _OLDEST_EVERY:
             return True
         since = self.oldest_since()
-        return since is not None and self._clock() - since > LONGEST_WAIT
+        return since is not None and self._clock() - since > MAX_QUEUE_WAIT
 
-    def _pop_first(self) -> WaitingQuestion:
+    def _pop_first(self) -> QueuedAdviceRequest:
         waiting = heapq.heappop(self._by_rank)[-1]
         while waiting.taken:
             waiting = heapq.heappop(self._by_rank)[-1]
         return waiting
 
-    def _pop_oldest(self) -> WaitingQuestion:
+    def _pop_oldest(self) -> QueuedAdviceRequest:
         waiting = self._by_age.popleft()
         while waiting.taken:
             waiting = self._by_age.popleft()
--- a/orchidrail/shard/advice_requester.py
+++ b/orchidrail/shard/advice_requester.py
@@ -9,9 +9,9 @@
 from typing import NamedTuple
 
 from orchidrail.background_tasks import TaskSet
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.advice_queue import Question
-from orchidrail.shard.approval_rates import Approvals
+from orchidrail.shard.approval_rates import ApprovalRates
 from orchidrail.shard.candidate_workers import may_place_on
 from orchidrail.shard.colocation import may_colocate
 from orchidrail.shard.ranking import Rank, is_overdue
@@ -21,7 +21,7 @@
 from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.work.size import Size
-from orchidrail.work.step import StepState, in_turn
+from orchidrail.work.step import StepState, longest_waiting_first
 from orchidrail.workers.port import Advice
 
 #: Workers asked about in one call while others may do.
@@ -51,7 +51,7 @@
 TICKET_MARGIN: Seconds = 0.15
 
 
-class _Inquiry(NamedTuple):
+class _Batch(NamedTuple):
     """A question of a step, and the room that is kept for its answer."""
 
     rank: Rank
@@ -62,7 +62,7 @@
     first: bool
 
 
-class Questions:
+class AdviceRequester:
     """Asks for the steps of one shard.
 
     Parameters
@@ -70,20 +70,20 @@
     state : ShardState
     runs : RunTracker
         Starts what room was kept for.
-    desk : AdviceDesk
+    dispatcher : AdviceDispatcher
     """
 
     def __init__(
         self,
         state: ShardState,
         runs: RunTracker,
-        desk: AdviceDesk,
+        dispatcher: AdviceDispatcher,
     ) -> None:
         """Ask nothing yet."""
         self._state = state
         self._runs = runs
-        self._desk = desk
-        self._approvals = Approvals()
+        self._dispatcher = dispatcher
+        self._approvals = ApprovalRates()
         self._asking = 0
         #: First questions of steps that are not urgent. Renewals are not among
         #: them: they follow each failed run, and would keep others from asking.
@@ -94,7 +94,7 @@
         """Give up all questions in progress."""
         self._tasks.close()
 
-    def ask_for_more(
+    def request_candidates(
         self,
         rank: Rank,
         step: StepState,
@@ -105,13 +105,13 @@
         if not unknown:
             return
         unknown.sort(key=lambda tracked: -tracked.free.millicores)
-        copies = max(1, step.spec.charged.times_in(unknown[0].free))
+        copies = max(1, step.spec.charged.copies_in(unknown[0].free))
         choice = _GANG_CHOICE if step.spec.gang and not step.job.urgent else 1
         useful = choice * self._approvals.needed(
             step.job.queue.name,
             missing / copies,
         )
-        lanes = self._desk.lanes
+        lanes = self._dispatcher.lanes
         ahead = _AHEAD_OVERDUE if is_overdue(rank) else _AHEAD
         # Urgent ones are not counted: they may come for as long as they like.
         if not step.job.urgent and self._asking_first > lanes * (1 + ahead):
@@ -121,9 +121,9 @@
         most = _ASKED_AT_ONCE * parts
         about = unknown[: min(most, max(_ASKED_AT_ONCE, useful))]
         for part in _split(about, parts):
-            self._ask(_Inquiry(rank, step, part, part, first=True))
+            self._ask(_Batch(rank, step, part, part, first=True))
 
-    def renew(
+    def renew_tickets(
         self,
         rank: Rank,
         step: StepState,
@@ -154,7 +154,7 @@
         about = chosen_books + self._stale(step, chosen_books)[:spare]
         for part in _deal(about, math.ceil(len(about) / _MOST_IN_CALL)):
             held = chosen_books if step.spec.gang else part
-            self._ask(_Inquiry(rank, step, part, held, first=False))
+            self._ask(_Batch(rank, step, part, held, first=False))
 
     def _stale(
         self,
@@ -163,29 +163,29 @@
     ) -> list[TrackedWorker]:
         """Return the other permitted workers whose tickets have run out."""
         until = self._state.clock() + TICKET_MARGIN
-        others = step.permits.good - {tracked.worker for tracked in chosen}
+        others = step.permits.permitted - {tracked.worker for tracked in chosen}
         every = self._state.tracked_by_worker
         return [
             every[worker]
             for worker in sorted(others)
             if worker in every
             and every[worker].available
-            and not step.permits.fresh(worker, until)
+            and not step.permits.has_valid_ticket(worker, until)
         ]
 
-    def _ask(self, inquiry: _Inquiry) -> None:
+    def _ask(self, inquiry: _Batch) -> None:
         """Ask about some workers; then place on those whose room was kept."""
         self._note_asking(inquiry, 1)
         self._tasks.spawn(self._ask_about(inquiry))
 
-    def _note_asking(self, inquiry: _Inquiry, change: int) -> None:
+    def _note_asking(self, inquiry: _Batch, change: int) -> None:
         step = inquiry.step
-        step.permits.asking += change
+        step.permits.calls_in_flight += change
         self._asking += change
         if inquiry.first and not step.job.urgent:
             self._asking_first += change
 
-    async def _ask_about(self, inquiry: _Inquiry) -> None:
+    async def _ask_about(self, inquiry: _Batch) -> None:
         step = inquiry.step
         workers = [tracked.worker for tracked in inquiry.about]
         cost = step.job.queue.advice
@@ -199,8 +199,8 @@
             partial(_waits, step),
         )
         try:
-            with self._state.open_questions.follow(step) as followed:
-                advice = await self._desk.ask(
+            with self._state.pending_advice.track(step) as followed:
+                advice = await self._dispatcher.ask(
                     question._replace(during_call=followed.during_call),
                 )
             if advice is None:
@@ -209,9 +209,9 @@
                 self._learn(step, workers, advice)
         finally:
             self._note_asking(inquiry, -1)
-            if not step.spec.gang or not step.permits.asking:
+            if not step.spec.gang or not step.permits.calls_in_flight:
                 self._place_held(step, inquiry.held)
-            self._state.wanted.set()
+            self._state.pass_requested.set()
 
     def _learn(
         self,
@@ -219,12 +219,12 @@
         workers: list[WorkerId],
         advice: Advice,
     ) -> None:
-        known = step.permits.known
+        known = step.permits.checked
         fresh = [worker for worker in workers if worker not in known]
         good = sum(worker in advice.ticket_by_worker for worker in fresh)
         self._approvals.note(step.job.queue.name, good, len(fresh))
         until = self._state.clock() + advice.valid
-        step.permits.learn(workers, advice.ticket_by_worker, until)
+        step.permits.record_advice(workers, advice.ticket_by_worker, until)
 
     def _place_held(self, step: StepState, kept: list[TrackedWorker]) -> None:
         """Place on room that was kept, before a pass gives it to others.
@@ -239,13 +239,15 @@
             tracked
             for tracked in held
             if may_place_on(step, tracked, now)
-            and step.permits.fresh(tracked.worker, until)
-            and tracked.worker in step.permits.good
+            and step.permits.has_valid_ticket(tracked.worker, until)
+            and tracked.worker in step.permits.permitted
             # Keeping room does not keep a task of another role away.
             and may_colocate(step, tracked, now)
         ]
         # The room was kept for the task whose turn it was.
-        tasks = self._state.ledger.within_limit(step, in_turn(step.startable()))
+        tasks = self._state.ledger.within_limit(
+            step, longest_waiting_first(step.startable())
+        )
         if not usable or not tasks:
             return
         if step.job.ended:
--- a/orchidrail/shard/approval_rates.py
+++ b/orchidrail/shard/approval_rates.py
@@ -19,12 +19,12 @@
 _SPARE = 1.5
 
 
-class Approvals:
+class ApprovalRates:
     """Counts approvals by queue.
 
     Examples
     --------
-    >>> approvals = Approvals()
+    >>> approvals = ApprovalRates()
     >>> approvals.note(QueueName('q'), good=10, asked=92)
     >>> approvals.needed(QueueName('q'), workers=4)
     43
--- a/orchidrail/shard/blocked_gangs.py
+++ b/orchidrail/shard/blocked_gangs.py
@@ -74,7 +74,7 @@
             if task.step.spec.gang:
                 workers_by_step[task.step].add(task.worker)
         for step, workers in workers_by_step.items():
-            lost = sorted(filter(self._state.lost, workers))
+            lost = sorted(filter(self._state.is_unreachable, workers))
             if lost and _count(step, TaskPhase.WAITING):
                 yield step, lost
 
--- a/orchidrail/shard/candidate_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -100,16 +100,16 @@
         -------
         None if the step may still be held back for other work.
         """
-        since = step.away_since()
+        since = step.interrupted_since()
         if since is not None and self._now - since > _HELD_BACK_FOR:
             return since
         if not self._half_free(step.job.queue.service):
             return None
-        since = step.noted_wait_since
+        since = step.recorded_waiting_since
         if since is None:
             return None
         # What waits for its tenant's limit is not held back for other work.
-        held_back_since = max(since, step.limited_at)
+        held_back_since = max(since, step.limit_reached_at)
         held_back = self._now - held_back_since > _HELD_BACK_AT_HALF_FOR
         return since if held_back else None
 
@@ -142,7 +142,7 @@
 
     def unknown(self, step: StepState) -> list[TrackedWorker]:
         """Return the workers of which the service has not been asked yet."""
-        unknown = self._by_worker.keys() - step.permits.known
+        unknown = self._by_worker.keys() - step.permits.checked
         if not unknown:
             return []
         return self._suitable(step, [self._by_worker[one] for one in unknown])
@@ -172,7 +172,7 @@
         """Return how many of a step's tasks the largest worker holds."""
         return max(
             (
-                spec.charged.times_in(capacity)
+                spec.charged.copies_in(capacity)
                 for capacity in self._capacities(service)
             ),
             default=0,
@@ -182,7 +182,7 @@
         """Whether an open worker is known that may run a step."""
         if step.job.queue.advice is None:
             return bool(self.with_label(step))
-        return not self._by_worker.keys().isdisjoint(step.permits.good)
+        return not self._by_worker.keys().isdisjoint(step.permits.permitted)
 
     def permitted_for(self, step: StepState) -> list[TrackedWorker]:
         """Return the usable workers known to be good, with room or without."""
@@ -236,7 +236,7 @@
             tracked
             for tracked in self._resting
             if tracked.entry.service == step.job.queue.service
-            and (not advised or tracked.worker in step.permits.good)
+            and (not advised or tracked.worker in step.permits.permitted)
             and step.spec.charged.fits(tracked.free)
             and matches_worker(step.spec, tracked)
         ]
@@ -283,7 +283,7 @@
         step: StepState,
         found: list[TrackedWorker],
     ) -> list[TrackedWorker]:
-        good = step.permits.good
+        good = step.permits.permitted
         if len(found) <= len(good):
             return [tracked for tracked in found if tracked.worker in good]
         service = step.job.queue.service
@@ -332,7 +332,7 @@
     """Whether tasks of a step may go to a worker, as far as its rest goes."""
     if tracked.accepts_work(now):
         return True
-    since = step.waits_since()
+    since = step.waiting_since()
     wait_expired = since is not None and now - since > _OFF_RESTING_FOR
     return wait_expired and tracked.available
 
--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -35,7 +35,7 @@
 
 def separation_expired(step: StepState, now: Seconds) -> bool:
     """Whether tasks of a step have waited for too long to be kept apart."""
-    since = step.waits_since()
+    since = step.waiting_since()
     return since is not None and now - since >= _KEPT_APART_FOR
 
 
--- a/orchidrail/shard/crash_attribution.py
+++ b/orchidrail/shard/crash_attribution.py
@@ -71,14 +71,14 @@
     def take_back(self, worker: WorkerId) -> None:
         """Take back what was held against tasks of a worker that is alive."""
         for task, added in self._doubted_by_worker.pop(worker, ()):
-            task.step.job.take_back_crash(task, added)
+            task.step.job.retract_crash(task, added)
             _log.info('suspicion taken back', task=task.key, worker=worker)
 
     def note_outlived(self, tracked: TrackedWorker, run: PlacedRun) -> None:
         """End a trial that is past; clear a task that has worked for long."""
         if run.key in tracked.isolated_runs and tracked.proven(run):
             tracked.isolated_runs.discard(run.key)
-            self._state.wanted.set()
+            self._state.pass_requested.set()
         task = run.task
         cleared = tracked.outlived(run) > _CLEARED_AFTER
         if task is not None and task.suspicion and cleared:
--- a/orchidrail/shard/crash_evidence.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -65,9 +65,9 @@
     calm: bool
 
 
-#: Suspicion that one end adds. `GIVEN_UP_AT` is reached by a first crash and
-#: two trials in calm times, since two crashes may be chance, and by four at
-#: the latest, however many workers crash by chance: users allow two starts
+#: Suspicion that one end adds. `SUSPICION_LIMIT` is reached by a first crash
+#: and two trials in calm times, since two crashes may be chance, and by four
+#: at the latest, however many workers crash by chance: users allow two starts
 #: after the third. A task that ends its workers after seconds is found so in
 #: calm times only.
 _SUSPICION_BY_SIGHT = {
--- a/orchidrail/shard/eligibility.py
+++ b/orchidrail/shard/eligibility.py
@@ -106,7 +106,9 @@
 def _has_no_ticket(sight: _Sight, tracked: TrackedWorker) -> bool:
     step = sight.step
     advised = step.job.queue.advice is not None
-    return advised and not step.permits.fresh(tracked.worker, sight.now)
+    return advised and not step.permits.has_valid_ticket(
+        tracked.worker, sight.now
+    )
 
 
 #: What keeps a worker from all steps.
@@ -277,8 +279,8 @@
     if step.job.queue.advice is None:
         return list(open_by_worker.values())
     permits = step.permits
-    good = open_by_worker.keys() & permits.good
-    not_asked = len(open_by_worker.keys() - permits.known)
+    good = open_by_worker.keys() & permits.permitted
+    not_asked = len(open_by_worker.keys() - permits.checked)
     counts[IneligibleReason.NOT_ASKED] += not_asked
     counts[IneligibleReason.NOT_PERMITTED] += (
         len(open_by_worker) - not_asked - len(good)
@@ -293,7 +295,7 @@
     """Yield the closed workers that are permitted and not full."""
     advised = step.job.queue.advice is not None
     for tracked, closing in kind.closed:
-        if advised and tracked.worker not in step.permits.good:
+        if advised and tracked.worker not in step.permits.permitted:
             continue
         if step.spec.charged.fits(tracked.free + tracked.held):
             yield tracked.worker, closing
--- a/orchidrail/shard/fleet.py
+++ b/orchidrail/shard/fleet.py
@@ -140,8 +140,8 @@
     async def _sweep_when_over(self) -> None:
         """Deal at once with lives that are over, and with those after them."""
         while True:
-            await self._state.life_over.wait()
-            self._state.life_over.clear()
+            await self._state.incarnation_ended.wait()
+            self._state.incarnation_ended.clear()
             self._sweep()
 
     def look_soon(self) -> None:
@@ -159,7 +159,7 @@
         for raw in worker_values(self._state.writer.view.value_by_key):
             entry = _decode_kept(raw)
             self._open_session(entry)
-            self._state.keep_worker(entry)
+            self._state.save_worker(entry)
 
     def _note_read(self) -> None:
         now = self._state.clock()
@@ -212,7 +212,7 @@
     def _use_listed(self, tracked: TrackedWorker, listed: bool) -> None:
         if tracked.listed is not listed:
             tracked.listed = listed
-            self._state.wanted.set()
+            self._state.pass_requested.set()
             _log.info(
                 'worker entry is back' if listed else 'worker entry is gone',
                 worker=tracked.worker,
@@ -247,7 +247,7 @@
             tracked = None
         if tracked is None:
             self._open_session(entry)
-            self._state.keep_worker(entry)
+            self._state.save_worker(entry)
         else:
             self._renew_entry(tracked, entry)
 
@@ -290,8 +290,8 @@
                 capacity=entry.capacity,
                 free=tracked.free,
             )
-            self._state.wanted.set()
-            self._state.keep_worker(entry)
+            self._state.pass_requested.set()
+            self._state.save_worker(entry)
 
     def _settle_address(
         self,
@@ -347,7 +347,7 @@
             self._runs,
             self._state.clock,
             self._may_renew,
-            self._state.use_fence,
+            self._state.reserve_fencing_token,
         )
         tracked = TrackedWorker(session, self._state.ledger)
         tracked.crashed_at = self._runs.last_crash_at(entry.address)
@@ -368,7 +368,7 @@
         self._task_by_worker[session.worker] = task
 
     async def _look(self, session: WorkerSession) -> None:
-        if await self._state.use_fence(session.epoch):
+        if await self._state.reserve_fencing_token(session.epoch):
             await session.run()
 
     def _look_again(self, session: WorkerSession) -> None:
@@ -407,7 +407,7 @@
 
     def _sweep_unmet(self) -> None:
         """Give up workers of an earlier owner that never came back."""
-        unmet = self._state.unresolved_by_worker.keys()
+        unmet = self._state.unresolved_runs.keys()
         for worker in unmet - self._state.tracked_by_worker.keys():
             self._runs.give_up_worker(worker, IncarnationEnd.NEVER_REACHED)
 
@@ -445,7 +445,7 @@
         self._worker_by_name.pop(name, None)
         self._unread.discard(tracked.worker)
         self._state.tracked_by_worker.pop(tracked.worker, None)
-        self._state.drop_worker(tracked)
+        self._state.delete_worker(tracked)
         task = self._task_by_worker.pop(tracked.worker, None)
         if task is not None:
             task.cancel()
--- a/orchidrail/shard/inherited_runs.py
+++ b/orchidrail/shard/inherited_runs.py
@@ -41,7 +41,7 @@
         """Take over a run that an earlier owner started."""
         task = self._state.find_task(active.key.task)
         now = self._state.clock()
-        left = self._state.unresolved_by_worker.lingering_on(
+        left = self._state.unresolved_runs.lingering_on(
             tracked.worker,
             active.key,
         )
@@ -70,7 +70,7 @@
         versions don't tell lives apart.
         """
         name = tracked.entry.name
-        unresolved = self._state.unresolved_by_worker
+        unresolved = self._state.unresolved_runs
         for worker in list(unresolved):
             if split_life(worker)[0] != name:
                 continue
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.blocked_gangs import BlockedGangs
 from orchidrail.shard.long_waits import LongWaitReporter
 from orchidrail.shard.placer import Placer
@@ -29,19 +29,19 @@
     ----------
     state : ShardState
     placer : Placer
-    desk : AdviceDesk
+    dispatcher : AdviceDispatcher
     """
 
     def __init__(
         self,
         state: ShardState,
         placer: Placer,
-        desk: AdviceDesk,
+        dispatcher: AdviceDispatcher,
     ) -> None:
         """Start with nothing told."""
         self._state = state
         self._placer = placer
-        self._desk = desk
+        self._dispatcher = dispatcher
         self._long_waits = LongWaitReporter(state)
         self._held_back_gangs = BlockedGangs(state)
 
@@ -62,7 +62,7 @@
         update_worker_gauges(state, waiting_tasks)
         update_tenant_gauges(state)
         self._long_waits.report(work)
-        oldest_question = state.open_questions.longest_in_line()
+        oldest_question = state.pending_advice.longest_queue_wait()
         state.metrics.oldest_question.set(oldest_question)
         free = sum(tracked.free.millicores for tracked in every)
         _log.info(
@@ -70,13 +70,13 @@
             jobs=len(state.job_by_id),
             waiting_tasks=waiting_tasks,
             waiting_steps=len(work.steps),
-            asking=sum(step.permits.asking for step in work.steps),
+            asking=sum(step.permits.calls_in_flight for step in work.steps),
             workers=len(every),
             open_workers=sum(tracked.accepts_work(now) for tracked in every),
             free_cores=free // _MILLIS,
             unconfirmed=round(state.writer.unconfirmed_for(), 3),
             oldest_question=round(oldest_question, 3),
-            **self._desk.load(),
+            **self._dispatcher.load(),
         )
 
     def _note_lost_workers(self) -> None:
@@ -84,10 +84,10 @@
         held_up = [
             job
             for job in self._state.job_by_id.values()
-            if any(map(self._state.lost, job.placed_on()))
+            if any(map(self._state.is_unreachable, job.placed_on()))
         ]
         for job in held_up:
-            job.waits.add(WaitReason.LOST_WORKER, _REPORT_EVERY)
+            job.wait_times.add(WaitReason.LOST_WORKER, _REPORT_EVERY)
         self._held_back_gangs.report(held_up)
 
 
@@ -111,7 +111,7 @@
     for job in state.job_by_id.values():
         if job.tenant.name:
             tenant_by_name[job.tenant.name] = job.tenant
-            waiting[job.tenant.name] += not job.begun
+            waiting[job.tenant.name] += not job.started
     for name, tenant in tenant_by_name.items():
         label = metrics.tenant(name)
         metrics.tenant_waiting.labels(label).set(waiting[name])
--- a/orchidrail/shard/long_waits.py
+++ b/orchidrail/shard/long_waits.py
@@ -129,7 +129,7 @@
             seconds=round(wait.seconds, 3),
             reason=reason.value if reason else '',
             starts=_start_of(step).value,
-            asking=step.permits.asking,
+            asking=step.permits.calls_in_flight,
             **self._question(step),
             **self._silence(step),
             **_show(survey),
@@ -137,7 +137,7 @@
 
     def _question(self, step: StepState) -> dict[str, object]:
         """Return for how long and for what a step's oldest question waits."""
-        oldest = self._state.open_questions.oldest_of(step.key)
+        oldest = self._state.pending_advice.oldest_for_step(step.key)
         if oldest is None:
             return {}
         now = self._state.clock()
@@ -186,5 +186,7 @@
 
 def _wait_of(step: StepState, now: Seconds) -> LongWait:
     tasks = step.startable()
-    since = [task.waits_since for task in tasks if task.waits_since is not None]
+    since = [
+        task.waiting_since for task in tasks if task.waiting_since is not None
+    ]
     return LongWait(step, now - min(since, default=now), len(tasks))
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -18,7 +18,7 @@
     Rejection,
     check_known_job,
 )
-from orchidrail.shard.advice_dispatcher import AdviceDesk, AskThrough
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher, CallAdvice
 from orchidrail.shard.fleet import DecodeEntry, Fleet
 from orchidrail.shard.lease_timing import prior_leases_end, renewal_grace
 from orchidrail.shard.load_report import LoadReport
@@ -50,7 +50,7 @@
     progress_key,
     read_jobs,
 )
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 from orchidrail.workers.incarnations import life_of
 from orchidrail.workers.port import RunKey, WorkerCalls
 
@@ -58,10 +58,10 @@
 #: Wait for the journal on behalf of a caller that names no patience.
 _PATIENCE: Seconds = 0.7
 #: Part of a caller's patience in which the refusal gets back to it.
-_ANSWER_TRAVELS: Seconds = 0.1
+_REPLY_MARGIN: Seconds = 0.1
 #: Bytes that may wait for a journal that is silent; beyond, jobs are refused
 #: at once. It is one append.
-_MOST_WAITING = 1_000_000
+_MAX_UNWRITTEN_BYTES = 1_000_000
 _RESOLVE_EVERY: Seconds = 1.0
 
 
@@ -75,11 +75,11 @@
     worker_view: JournalView
     worker_calls: WorkerCalls
     decode_entry: DecodeEntry
-    ask: AskThrough
+    ask: CallAdvice
     clock: Callable[[], Seconds]
     wall_clock: Callable[[], Seconds]
     #: Whether the store answers nobody, so that nobody can take over.
-    store_away: Callable[[], bool]
+    store_unreachable: Callable[[], bool]
     longest_lease: Seconds
     stop_takes: Seconds
     status_kept: Seconds
@@ -118,8 +118,8 @@
             self.resign,
             ports.stop_takes,
         )
-        self.desk = AdviceDesk(ports.ask, ports.clock)
-        self.placer = Placer(self.state, self.runs, self.desk)
+        self.dispatcher = AdviceDispatcher(ports.ask, ports.clock)
+        self.placer = Placer(self.state, self.runs, self.dispatcher)
         earlier = writer.owner.epoch > 1
         doubted = prior_leases_end(now, ports.longest_lease) if earlier else 0
         self._fleet = Fleet(
@@ -140,14 +140,14 @@
         async with AsyncExitStack() as stack:
             stack.callback(self.placer.close)
             stack.callback(self.runs.close)
-            stack.callback(self.desk.close)
+            stack.callback(self.dispatcher.close)
             tasks = [
                 asyncio.create_task(work)
                 for work in (
                     self.writer.run(),
                     self._fleet.run(),
                     self.placer.run(),
-                    LoadReport(self.state, self.placer, self.desk).run(),
+                    LoadReport(self.state, self.placer, self.dispatcher).run(),
                     self._expire_jobs(),
                 )
             ]
@@ -170,7 +170,7 @@
         """Stop deciding: somebody else owns the shard."""
         self.writer.fenced.set()
 
-    def objection(
+    def find_rejection(
         self,
         job_id: JobId,
         queue: QueueSettings,
@@ -178,7 +178,7 @@
         tenant: Tenant,
     ) -> Rejection | None:
         """Return why a job is not to be taken, if there is a reason."""
-        known = self.state_of(job_id)
+        known = self.job_state(job_id)
         if known is not None:
             return check_known_job(known, tenant)
         return self._objections.find(queue, spec, tenant)
@@ -189,7 +189,7 @@
         queue: QueueSettings,
         spec: JobSpec,
         patience: Seconds = _PATIENCE,
-        tenant: Tenant = NOBODY,
+        tenant: Tenant = ANONYMOUS_TENANT,
     ) -> bool | None:
         """Accept a job.
 
@@ -203,7 +203,7 @@
         """
         if self.knows(job_id):
             return await self._wait_known(job_id)
-        full = self.writer.waiting_bytes > _MOST_WAITING
+        full = self.writer.waiting_bytes > _MAX_UNWRITTEN_BYTES
         if full or self.writer.fenced.is_set():
             _log.info(
                 'job refused',
@@ -226,11 +226,11 @@
         commit = self.writer.put(job_key(job_id), encode(record))
         # Its first steps may be placed while it is written: a start waits for
         # a record of its own, which is never written before the job's.
-        self.state.note_change(job)
+        self.state.mark_changed(job)
         # The caller may leave before the answer: this must happen all the same.
         commit.then(lambda committed: self._accept(job, committed))
         waiting = asyncio.ensure_future(commit.wait())
-        held_for = max(0, patience - _ANSWER_TRAVELS)
+        held_for = max(0, patience - _REPLY_MARGIN)
         done, _ = await asyncio.wait((waiting,), timeout=held_for)
         if not done and self._withdraw(job, commit):
             waiting.cancel()
@@ -251,7 +251,7 @@
         self.writer.withdraw(progress_key(job.job_id))
         job.phase = JobPhase.CANCELLED
         self.state.job_by_id.pop(job.job_id, None)
-        self.state.note_change(job)
+        self.state.mark_changed(job)
         self.runs.forget_job(job)
         _log.info(
             'job withdrawn',
@@ -271,7 +271,7 @@
             job=job.job_id,
             queue=job.queue.name,
             tenant=job.tenant.name,
-            beyond=job.record.beyond,
+            beyond=job.record.over_share,
             tasks=sum(step.count for step in job.spec.steps),
             epoch=self.writer.owner.epoch,
         )
@@ -283,10 +283,10 @@
 
     def phase(self, job_id: JobId) -> JobPhase | None:
         """Return what a caller may be shown, None if there is no such job."""
-        state = self.state_of(job_id)
+        state = self.job_state(job_id)
         return None if state is None else state.phase
 
-    def state_of(self, job_id: JobId) -> StoredState | None:
+    def job_state(self, job_id: JobId) -> StoredState | None:
         """Return what the journal tells of a job, or is about to tell."""
         stored = read_state(job_id, self.writer.view.value_by_key)
         job = self.state.job_by_id.get(job_id)
@@ -302,7 +302,7 @@
         job.phase = JobPhase.CANCELLED
         commit = self.state.save(job)
         self.state.job_by_id.pop(job_id, None)
-        self.state.note_change(job)
+        self.state.mark_changed(job)
         self.runs.stop_job(job)
         _log.info('job cancelled', job=job_id)
         if not await commit.wait():
@@ -327,14 +327,14 @@
         return Counter(
             job.queue.name
             for job in self.state.job_by_id.values()
-            if not job.begun
+            if not job.started
         )
 
     def use_lanes(self, lanes: list[InstanceId]) -> None:
         """Ask for advice through these machines."""
-        self.desk.use_lanes(lanes)
+        self.dispatcher.use_lanes(lanes)
 
-    def doubt_connections(self) -> None:
+    def check_connections_soon(self) -> None:
         """Take that connections to several workers went silent at once."""
         self._fleet.look_soon()
 
@@ -357,7 +357,7 @@
             return False
         longest = renewal_grace(self._ports.longest_lease)
         confirmed = self.writer.unconfirmed_for() < longest
-        return confirmed or self._ports.store_away()
+        return confirmed or self._ports.store_unreachable()
 
     def _restore(self) -> None:
         for stored in read_jobs(self.writer.view.value_by_key):
@@ -368,11 +368,11 @@
             job.restore(stored.progress)
             job.accepted = True
             self.state.job_by_id[stored.job_id] = job
-            self.state.note_change(job)
+            self.state.mark_changed(job)
             for row in stored.progress.rows:
                 task = job.find_task(row.round_number, row.step, row.index)
                 if task is not None and task.phase is TaskPhase.PLACED:
-                    self.state.unresolved_by_worker.add(
+                    self.state.unresolved_runs.add(
                         task.worker,
                         [(task, task.run)],
                     )
@@ -384,8 +384,8 @@
 
     def _restore_left(self, ended: EndedRecord) -> None:
         """Count what may be left of an ended job until its workers are met."""
-        for run in ended.left:
-            self.state.unresolved_by_worker.add_lingering(
+        for run in ended.lingering_runs:
+            self.state.unresolved_runs.add_lingering(
                 life_of(run.worker, run.born),
                 RunKey(run.task, run.run),
                 QuotaUsage(ended.tenant.name, run.size),
--- a/orchidrail/shard/pending_advice.py
+++ b/orchidrail/shard/pending_advice.py
@@ -11,16 +11,16 @@
 from orchidrail.work.step import StepState
 
 
-class QuestionState(Enum):
+class AdviceRequestState(Enum):
     """What a question without an answer waits for."""
 
     #: A lane to be asked through.
-    LINE = 'line'
+    QUEUED = 'line'
     #: The answer to a call that is under way.
-    CALL = 'call'
+    IN_FLIGHT = 'call'
 
 
-class OpenQuestion:
+class PendingAdviceRequest:
     """One question, from its beginning to its answer.
 
     It may be asked again, also beside a call that is late.
@@ -50,9 +50,13 @@
         self._calls = 0
 
     @property
-    def state(self) -> QuestionState:
+    def state(self) -> AdviceRequestState:
         """What it waits for."""
-        return QuestionState.CALL if self._calls else QuestionState.LINE
+        return (
+            AdviceRequestState.IN_FLIGHT
+            if self._calls
+            else AdviceRequestState.QUEUED
+        )
 
     @contextmanager
     def during_call(self) -> Generator[None]:
@@ -61,7 +65,7 @@
         A second call beside a late one did not wait for a lane on its own.
         """
         began = self._clock()
-        if self.state is QuestionState.LINE:
+        if self.state is AdviceRequestState.QUEUED:
             self._metrics.advice_line.labels(self._queue).observe(
                 began - self.state_since,
             )
@@ -76,11 +80,11 @@
         now = self._clock()
         self._metrics.advice_calls.labels(self._queue).observe(now - began)
         self._calls -= 1
-        if self.state is QuestionState.LINE:
+        if self.state is AdviceRequestState.QUEUED:
             self.state_since = now
 
 
-class OpenQuestions:
+class PendingAdviceRequests:
     """All questions of one shard that have no answer yet.
 
     Parameters
@@ -99,29 +103,29 @@
         self._clock = clock
         self._metrics = metrics
         #: In order of age.
-        self._open: dict[OpenQuestion, None] = {}
+        self._open: dict[PendingAdviceRequest, None] = {}
 
     @contextmanager
-    def follow(self, step: StepState) -> Generator[OpenQuestion]:
+    def track(self, step: StepState) -> Generator[PendingAdviceRequest]:
         """Follow a question of a step until it is answered or given up."""
-        question = OpenQuestion(step, self._clock, self._metrics)
+        question = PendingAdviceRequest(step, self._clock, self._metrics)
         self._open[question] = None
         try:
             yield question
         finally:
             self._open.pop(question)
 
-    def oldest_of(self, step_key: str) -> OpenQuestion | None:
+    def oldest_for_step(self, step_key: str) -> PendingAdviceRequest | None:
         """Return the oldest question of a step, if it has any."""
         of_step = (one for one in self._open if one.step_key == step_key)
         return next(of_step, None)
 
-    def longest_in_line(self) -> Seconds:
+    def longest_queue_wait(self) -> Seconds:
         """Return how long the oldest one waits for a lane, 0 if none does."""
         now = self._clock()
         waits = (
             now - question.state_since
             for question in self._open
-            if question.state is QuestionState.LINE
+            if question.state is AdviceRequestState.QUEUED
         )
         return max(waits, default=0)
--- a/orchidrail/shard/placement_pass.py
+++ b/orchidrail/shard/placement_pass.py
@@ -37,8 +37,8 @@
 class _Blocked(NamedTuple):
     """Under what a step found no room: while it holds, there is none."""
 
-    known: int
-    good: int
+    checked: int
+    permitted: int
     asking: int
     #: Workers that were kept from the step.
     reserved: frozenset[WorkerId]
@@ -88,7 +88,7 @@
         long it has waited.
         """
         usual = self.timing.rank(this_pass.wall)
-        if self.timing.beyond:
+        if self.timing.over_share:
             return usual
         since = this_pass.workers.overdue_since(self.step)
         return usual if since is None else min(usual, overdue_rank(since))
@@ -101,7 +101,7 @@
             return False
         size = self.step.spec.charged
         advised = self.step.job.queue.advice is not None
-        good = self.step.permits.good
+        good = self.step.permits.permitted
         return not any(
             size.fits(tracked.free)
             for tracked in this_pass.with_more_free
@@ -145,9 +145,9 @@
     def _standing(self, this_pass: Pass) -> _Blocked:
         permits = self.step.permits
         return _Blocked(
-            len(permits.known),
-            len(permits.good),
-            permits.asking,
+            len(permits.checked),
+            len(permits.permitted),
+            permits.calls_in_flight,
             this_pass.workers.reserved,
             this_pass.workers.overdue(self.step),
             this_pass.workers.may_use_resting(self.step),
@@ -242,7 +242,7 @@
 
     def may_ask(self, step: StepState) -> bool:
         """Whether a step has workers to ask about and does not ask yet."""
-        if step.job.queue.advice is None or step.permits.asking:
+        if step.job.queue.advice is None or step.permits.calls_in_flight:
             return False
         return bool(self.workers.unknown(step))
 
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -6,8 +6,8 @@
 import contextlib
 from operator import itemgetter
 
-from orchidrail.shard.advice_dispatcher import AdviceDesk
-from orchidrail.shard.advice_requester import TICKET_MARGIN, Questions
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
+from orchidrail.shard.advice_requester import TICKET_MARGIN, AdviceRequester
 from orchidrail.shard.due_times import DueTimes
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.long_waits import WaitingWork
@@ -22,7 +22,7 @@
 from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.worker_selection import Placement, choose_workers
 from orchidrail.types import JobId, Seconds, WorkerId
-from orchidrail.work.step import StepState, Task, in_turn
+from orchidrail.work.step import StepState, Task, longest_waiting_first
 from orchidrail.work.wait_times import WaitReason
 
 #: Least time between two passes; they take at most half of all time, so that
@@ -42,20 +42,20 @@
     ----------
     state : ShardState
     runs : RunTracker
-    desk : AdviceDesk
+    dispatcher : AdviceDispatcher
     """
 
     def __init__(
         self,
         state: ShardState,
         runs: RunTracker,
-        desk: AdviceDesk,
+        dispatcher: AdviceDispatcher,
     ) -> None:
         """Start with nothing waiting."""
         self._state = state
         self._runs = runs
-        self._desk = desk
-        self._questions = Questions(state, runs, desk)
+        self._dispatcher = dispatcher
+        self._questions = AdviceRequester(state, runs, dispatcher)
         self._headroom = Headroom()
         #: Steps with tasks whose turn has come, of all open jobs.
         self._waiting_by_job: dict[JobId, list[WaitingStep]] = {}
@@ -73,8 +73,8 @@
                 self._due_times.wait(self._state.wall_clock()),
             )
             with contextlib.suppress(TimeoutError, asyncio.TimeoutError):
-                await asyncio.wait_for(self._state.wanted.wait(), wait)
-            self._state.wanted.clear()
+                await asyncio.wait_for(self._state.pass_requested.wait(), wait)
+            self._state.pass_requested.clear()
             began = self._state.clock()
             self.place_all()
             took = self._state.clock() - began
@@ -164,14 +164,14 @@
         tasks = waiting.tasks
         if this_pass.workers.overdue(step):
             # One that fails would else take each turn before its siblings.
-            tasks = in_turn(tasks)
+            tasks = longest_waiting_first(tasks)
         in_limit: list[Task] = []
         if tenant not in this_pass.tenants_saving_limit or step.job.urgent:
             in_limit = self._state.ledger.within_limit(step, tasks)
             if not in_limit and self._state.ledger.needs_most_of_limit(step):
                 this_pass.tenants_saving_limit.add(tenant)
         if not in_limit:
-            step.limited_at = this_pass.now
+            step.limit_reached_at = this_pass.now
         return in_limit
 
     def _waits_for_journal(self, now: Seconds) -> bool:
@@ -190,7 +190,7 @@
         for job_id in self._waiting_by_job:
             job = self._state.job_by_id.get(job_id)
             if job is not None:
-                job.waits.note(reason_by_job.get(job_id), now)
+                job.wait_times.note(reason_by_job.get(job_id), now)
 
     def waiting_tasks(self) -> int:
         """Return how many tasks wait whose turn has come."""
@@ -236,9 +236,9 @@
         now = self._state.clock()
         for waiting in self._waiting_by_job[job_id]:
             for task in waiting.tasks:
-                if task.waits_since is None:
-                    task.waits_since = now
-            waiting.step.noted_wait_since = waiting.step.waits_since()
+                if task.waiting_since is None:
+                    task.waiting_since = now
+            waiting.step.recorded_waiting_since = waiting.step.waiting_since()
 
     def _place_step(
         self,
@@ -264,9 +264,9 @@
                 self._launch_or_renew(rank, step, chosen, missing)
             else:
                 self._runs.launch(step, chosen)
-        if missing and advised and not step.permits.asking:
+        if missing and advised and not step.permits.calls_in_flight:
             unknown = this_pass.workers.unknown(step)
-            self._questions.ask_for_more(rank, step, missing, unknown)
+            self._questions.request_candidates(rank, step, missing, unknown)
         this_pass.reserve_workers(waiting, missing)
         return len(chosen)
 
@@ -287,7 +287,7 @@
             ready = [
                 tracked
                 for tracked in with_free_capacity
-                if step.permits.fresh(tracked.worker, until)
+                if step.permits.has_valid_ticket(tracked.worker, until)
             ]
             chosen = choose_workers(step, tasks, ready)
             if chosen:
@@ -306,15 +306,15 @@
         ready = [
             placement
             for placement in chosen
-            if step.permits.fresh(placement.tracked.worker, until)
+            if step.permits.has_valid_ticket(placement.tracked.worker, until)
         ]
         if step.spec.gang and len(ready) < len(chosen):
             ready = []
         if ready:
             self._runs.launch(step, ready)
         stale = [placement for placement in chosen if placement not in ready]
-        if stale and not step.permits.asking:
-            self._questions.renew(rank, step, stale, missing)
+        if stale and not step.permits.calls_in_flight:
+            self._questions.renew_tickets(rank, step, stale, missing)
 
 
 def _leave_headroom(
@@ -336,6 +336,6 @@
     """Return what the tasks of a step that were not placed wait for."""
     if this_pass.workers.has_permitted(step):
         return WaitReason.ROOM
-    if step.permits.asking:
+    if step.permits.calls_in_flight:
         return WaitReason.ADVICE
     return WaitReason.WORKERS
--- a/orchidrail/shard/ranking.py
+++ b/orchidrail/shard/ranking.py
@@ -55,7 +55,7 @@
         When the step's round was due, or its job accepted.
     urgent : bool
         Whether the step's queue goes before all others.
-    beyond : bool
+    over_share : bool
         Whether its job is beyond what its tenant is owed.
     """
 
@@ -63,11 +63,11 @@
     deadline: Seconds
     began: Seconds
     urgent: bool
-    beyond: bool = False
+    over_share: bool = False
 
     def has_slack(self, wall: Seconds) -> bool:
         """Whether the step still meets its objective if it waits a while."""
-        if self.beyond:
+        if self.over_share:
             return True
         return not self.urgent and wall < self.latest_start - _SPARE
 
@@ -80,7 +80,7 @@
         start later than that, so it is not starved for good. What a tenant
         sends beyond what it is owed goes behind all that is owed.
         """
-        if self.beyond:
+        if self.over_share:
             return (_BEYOND, self.latest_start)
         if wall > self.deadline:
             return (_OTHER, self.deadline + _LATE_WAITS)
@@ -111,5 +111,5 @@
         deadline,
         _begins_at(job, step.round_number),
         job.urgent,
-        job.record.beyond,
+        job.record.over_share,
     )
--- a/orchidrail/shard/reservations.py
+++ b/orchidrail/shard/reservations.py
@@ -91,7 +91,7 @@
         if run.task is not None and run.task.step.spec.lasting
     )
     comes_free = tracked.entry.capacity - sum(lasting, Size())
-    fitting = max(0, step.spec.charged.times_in(comes_free))
+    fitting = max(0, step.spec.charged.copies_in(comes_free))
     if not most:
         return fitting
     return max(0, min(fitting, most - tracked.count_by_step[step.key]))
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -198,7 +198,7 @@
 
     def _settle(self, job: Job) -> Commit:
         """Save a job after its runs changed; end what is left if it is over."""
-        self._state.note_change(job)
+        self._state.mark_changed(job)
         commit = self._state.save(job)
         if not job.ended:
             return commit
@@ -213,11 +213,11 @@
             took=round(self._state.wall_clock() - job.record.accepted_at, 3),
             expected=round(round_deadline(job) - job.record.accepted_at, 3),
             failures=job.failures(),
-            waits=job.waits.describe(self._state.clock()),
+            waits=job.wait_times.describe(self._state.clock()),
             longest_run=round(job.longest_run, 3),
-            longest_at=job.longest_at,
+            longest_at=job.longest_run_worker,
         )
-        self._state.note_over(job)
+        self._state.observe_job_duration(job)
         self._state.job_by_id.pop(job.job_id, None)
         self._stop_job(job)
         return commit
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -97,7 +97,7 @@
 
     def launch(self, step: StepState, chosen: list[Placement]) -> None:
         """Place runs and order their starts once the journal has them."""
-        if not step.job.begun:
+        if not step.job.started:
             self._note_wait(step.job)
         self._note_task_waits(step.job, chosen)
         run = step.next_run([placement.task for placement in chosen])
@@ -131,7 +131,7 @@
             metrics.queue(job.queue.name),
         )
         for placement in chosen:
-            since = placement.task.waits_since
+            since = placement.task.waiting_since
             waiting.observe(0 if since is None else now - since)
 
     def stop_job(self, job: Job) -> None:
@@ -180,7 +180,7 @@
         self._look_for_trouble(tracked)
         self._take_gone(tracked, listing, seen, sent_at)
         if self._ends.settle_all() or listing.ended:
-            self._state.wanted.set()
+            self._state.pass_requested.set()
         # Ends listed again may still wait for the write of their first time.
         return [self._state.writer.flush()] if listing.ended else []
 
@@ -196,7 +196,7 @@
             if run.key not in seen and _surely_gone(run, listing, sent_at):
                 self._note_gone(tracked, run, listing)
                 self._ends.lose(tracked, run)
-        if self._state.unresolved_by_worker:
+        if self._state.unresolved_runs:
             self._earlier.resolve(tracked, seen)
 
     def _note_gone(
@@ -229,7 +229,7 @@
         left = tracked is not None and tracked.left_voluntarily()
         end = IncarnationEnd.LEFT if left else IncarnationEnd.CRASHED
         self.give_up_worker(session.worker, end, session.next_life)
-        self._state.life_over.set()
+        self._state.incarnation_ended.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
         """See `Observer.on_fenced`."""
@@ -252,7 +252,7 @@
         under the same name; their tasks wait until that one has seen a higher
         fencing token and has told what it runs.
         """
-        unresolved = self._state.unresolved_by_worker.pop_runs(worker)
+        unresolved = self._state.unresolved_runs.pop_runs(worker)
         self._judge.note_end(worker, unresolved, end)
         tracked = self._state.tracked_by_worker.get(worker)
         if tracked is not None:
@@ -263,7 +263,7 @@
                 tracked.release(run.key)
                 unresolved.append((run.task, run.key.run))
         if next_life is not None and unresolved:
-            self._state.unresolved_by_worker.add(next_life, unresolved)
+            self._state.unresolved_runs.add(next_life, unresolved)
             unresolved = []
         for task, number in unresolved:
             self._ends.requeue(task, number)
@@ -364,7 +364,7 @@
         if not tracked.has(run) or run.task is None:
             return
         if result is OrderResult.NO_TICKET:
-            run.task.step.permits.expire(tracked.worker)
+            run.task.step.permits.drop_ticket(tracked.worker)
         self._ends.lose(tracked, run)
         self._ends.settle_all()
 
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -9,7 +9,7 @@
 from orchidrail.journal.writer import Commit
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard.fair_shares import FairShares
-from orchidrail.shard.pending_advice import OpenQuestions
+from orchidrail.shard.pending_advice import PendingAdviceRequests
 from orchidrail.shard.tenant_ledger import (
     FindTenant,
     TenantLedger,
@@ -29,7 +29,7 @@
 from orchidrail.work.records import (
     FENCE_KEY,
     EndedRecord,
-    LeftRun,
+    LingeringRun,
     Progress,
     encode,
     job_key,
@@ -43,7 +43,7 @@
 _KEY_PARTS = 4
 
 
-def _runs_left(job: Job) -> tuple[LeftRun, ...]:
+def _runs_left(job: Job) -> tuple[LingeringRun, ...]:
     """Return the runs of a job that may outlast it, for the next owner.
 
     It counts them against their tenant's limit until it hears their workers.
@@ -51,7 +51,7 @@
     if not job.tenant.name:
         return ()
     return tuple(
-        LeftRun(
+        LingeringRun(
             task.key,
             task.run,
             task.step.spec.size,
@@ -92,18 +92,18 @@
         self.writer = writer
         self.clock = clock
         self.wall_clock = wall_clock
-        self.began_at = clock()
-        self.open_questions = OpenQuestions(clock, metrics)
+        self.started_at = clock()
+        self.pending_advice = PendingAdviceRequests(clock, metrics)
         self.job_by_id: dict[JobId, Job] = {}
         self.tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
         #: Tasks that an earlier owner placed on a worker not yet heard from.
-        self.unresolved_by_worker = UnresolvedRuns(self.ledger)
+        self.unresolved_runs = UnresolvedRuns(self.ledger)
         self.speeds = SpeedEstimator()
         #: Set when something may be placed that could not before.
-        self.wanted = asyncio.Event()
+        self.pass_requested = asyncio.Event()
         self.changed_jobs: set[JobId] = set()
         #: Set when a worker's life has been found to be over.
-        self.life_over = asyncio.Event()
+        self.incarnation_ended = asyncio.Event()
         self._highest_fence = writer.owner.epoch
         self._fence_commit: Commit | None = None
 
@@ -117,18 +117,18 @@
             return None
         return job.find_task(int(parts[1]), int(parts[2]), int(parts[3]))
 
-    def lost(self, worker: WorkerId) -> bool:
+    def is_unreachable(self, worker: WorkerId) -> bool:
         """Whether a worker does not answer, or was never met."""
         tracked = self.tracked_by_worker.get(worker)
         return tracked is None or not tracked.session.reachable
 
-    def keep_worker(self, entry: WorkerEntry) -> None:
+    def save_worker(self, entry: WorkerEntry) -> None:
         """Put a worker into the journal, for the next owner to look for."""
         key, value = worker_key(entry.name), encode(entry)
         if self.writer.view.value_by_key.get(key) != value:
             self.writer.put(key, value)
 
-    async def use_fence(self, token: Epoch) -> bool:
+    async def reserve_fencing_token(self, token: Epoch) -> bool:
         """Make sure that the next owner's fencing token is above this one.
 
         Returns
@@ -142,17 +142,17 @@
             return True
         return await self._fence_commit.wait()
 
-    def drop_worker(self, tracked: TrackedWorker) -> None:
+    def delete_worker(self, tracked: TrackedWorker) -> None:
         """Take a worker out of the journal: its life is over."""
         self.writer.put(worker_key(tracked.entry.name), b'')
         self.speeds.forget(tracked.worker)
 
-    def note_change(self, job: Job) -> None:
+    def mark_changed(self, job: Job) -> None:
         """Have the job's steps looked at again."""
         self.changed_jobs.add(job.job_id)
-        self.wanted.set()
+        self.pass_requested.set()
 
-    def note_over(self, job: Job) -> None:
+    def observe_job_duration(self, job: Job) -> None:
         """Count a job that has ended."""
         took = self.wall_clock() - job.record.accepted_at
         self.metrics.finishing.labels(
--- a/orchidrail/shard/stored_state.py
+++ b/orchidrail/shard/stored_state.py
@@ -30,7 +30,7 @@
     cause: FailureCause = FailureCause.NONE
     tenant: TenantId = TenantId('')
 
-    def is_of(self, tenant: TenantId) -> bool:
+    def visible_to(self, tenant: TenantId) -> bool:
         """Whether somebody may be told of the job.
 
         Jobs accepted before there were tenants are everybody's; `tenant` is
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -8,7 +8,7 @@
 
 from orchidrail.shard.decaying_peak import DecayingPeak
 from orchidrail.types import Seconds, TenantId
-from orchidrail.work.model import size_at_once
+from orchidrail.work.model import concurrent_size
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState, Task
 from orchidrail.work.tenant import Tenant
@@ -128,7 +128,7 @@
         A limit that was lowered is heeded by what starts; what runs goes on.
         """
         current = self.current(tenant)
-        return current.more_within(self.used(tenant.name), size)
+        return current.count_within_limit(self.used(tenant.name), size)
 
     def within_limit(self, step: StepState, tasks: list[Task]) -> list[Task]:
         """Return the tasks that the tenant's limit lets start; gangs whole.
@@ -142,7 +142,7 @@
         used = self.used(tenant.name)
         if not step.job.urgent:
             used += self._kept_beside(tenant, step)
-        more = tenant.more_within(used, step.spec.size)
+        more = tenant.count_within_limit(used, step.spec.size)
         if step.spec.gang:
             return tasks if more >= len(tasks) else []
         return tasks[:more]
@@ -158,15 +158,15 @@
         tenant = self.current(step.job.tenant)
         if not tenant.limited:
             return False
-        at_once = size_at_once(step.spec)
+        at_once = concurrent_size(step.spec)
         lasting = self._lasting_by_tenant[tenant.name]
-        fits = tenant.more_within(lasting, at_once) > 0
+        fits = tenant.count_within_limit(lasting, at_once) > 0
         return fits and not tenant.ever_fits(at_once + at_once)
 
     def _kept_beside(self, tenant: Tenant, step: StepState) -> Size:
         """Return what is kept from a step; nothing if it would never fit."""
         kept = self._kept_for_urgent(tenant)
-        fits = tenant.more_within(kept, size_at_once(step.spec)) > 0
+        fits = tenant.count_within_limit(kept, concurrent_size(step.spec)) > 0
         return kept if fits else Size()
 
     def _kept_for_urgent(self, tenant: Tenant) -> Size:
--- a/orchidrail/shard/tests/test_advice_dispatcher.py
+++ b/orchidrail/shard/tests/test_advice_dispatcher.py
@@ -5,7 +5,7 @@
 import asyncio
 import time
 
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.advice_queue import Question
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import InstanceId, Seconds, WorkerId
@@ -32,36 +32,36 @@
         self.answers[step_key] = asyncio.get_running_loop().create_future()
         return await self.answers[step_key]
 
-    def _desk(self, lanes: int) -> AdviceDesk:
-        desk = AdviceDesk(self._ask, time.monotonic)
-        desk.use_lanes(
+    def _dispatcher(self, lanes: int) -> AdviceDispatcher:
+        dispatcher = AdviceDispatcher(self._ask, time.monotonic)
+        dispatcher.use_lanes(
             [InstanceId(f'lane-{number}') for number in range(lanes)]
         )
-        return desk
+        return dispatcher
 
     async def _put(
         self,
-        desk: AdviceDesk,
+        dispatcher: AdviceDispatcher,
         key: str,
         duration: Seconds,
         rank: float = 1,
     ) -> asyncio.Task[Advice | None]:
         question = Question(key, [], duration, (rank,))
-        asking = asyncio.create_task(desk.ask(question))
+        asking = asyncio.create_task(dispatcher.ask(question))
         await asyncio.sleep(0.01)
         return asking
 
     def test_one_call_at_a_time_in_a_lane_most_urgent_next(self) -> None:
         async def scenario() -> None:
-            desk = self._desk(1)
-            await self._put(desk, 'first', _SHORT)
-            await self._put(desk, 'later', _SHORT, rank=2)
-            await self._put(desk, 'urgent', _SHORT, rank=0)
+            dispatcher = self._dispatcher(1)
+            await self._put(dispatcher, 'first', _SHORT)
+            await self._put(dispatcher, 'later', _SHORT, rank=2)
+            await self._put(dispatcher, 'urgent', _SHORT, rank=0)
             self.assertEqual(1, len(self.asked))
             self.answers['first'].set_result(Advice({}, 1))
             await asyncio.sleep(0.01)
             self.assertEqual('urgent', self.asked[-1][1])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -70,28 +70,28 @@
 
         async def scenario() -> None:
             now: Seconds = 0
-            desk = AdviceDesk(self._ask, lambda: now)
-            desk.use_lanes([InstanceId('lane')])
-            await self._put(desk, 'first', _SHORT)
-            await self._put(desk, 'late', _SHORT, rank=9)
+            dispatcher = AdviceDispatcher(self._ask, lambda: now)
+            dispatcher.use_lanes([InstanceId('lane')])
+            await self._put(dispatcher, 'first', _SHORT)
+            await self._put(dispatcher, 'late', _SHORT, rank=9)
             now = 1.5
-            await self._put(desk, 'urgent', _SHORT, rank=0)
+            await self._put(dispatcher, 'urgent', _SHORT, rank=0)
             self.answers['first'].set_result(Advice({}, 1))
             await asyncio.sleep(0.01)
             self.assertEqual('late', self.asked[-1][1])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
     def test_long_calls_leave_a_lane_for_short_ones(self) -> None:
         async def scenario() -> None:
-            desk = self._desk(3)
+            dispatcher = self._dispatcher(3)
             for key in ('a', 'b', 'c'):
-                await self._put(desk, key, _LONG)
-            await self._put(desk, 'quick', _SHORT)
+                await self._put(dispatcher, key, _LONG)
+            await self._put(dispatcher, 'quick', _SHORT)
             self.assertIn('quick', [key for _, key in self.asked])
             self.assertNotIn('c', [key for _, key in self.asked])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -102,15 +102,15 @@
 
         async def scenario() -> None:
             now: Seconds = 0
-            desk = AdviceDesk(self._ask, lambda: now)
-            desk.use_lanes([InstanceId('lane-1'), InstanceId('lane-2')])
+            dispatcher = AdviceDispatcher(self._ask, lambda: now)
+            dispatcher.use_lanes([InstanceId('lane-1'), InstanceId('lane-2')])
             for key in ('a', 'b', 'c'):
-                await self._put(desk, key, _LONG)
+                await self._put(dispatcher, key, _LONG)
             self.assertEqual(['a'], [key for _, key in self.asked])
             now = 1.5
-            await self._put(desk, 'd', _LONG)
+            await self._put(dispatcher, 'd', _LONG)
             self.assertEqual(['a', 'b'], [key for _, key in self.asked])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -121,23 +121,23 @@
 
         async def scenario() -> None:
             now: Seconds = 0
-            desk = AdviceDesk(self._ask, lambda: now)
-            desk.use_lanes([InstanceId('lane')])
-            await self._put(desk, 'first', _SHORT)
-            await self._put(desk, 'long', _LONG)
+            dispatcher = AdviceDispatcher(self._ask, lambda: now)
+            dispatcher.use_lanes([InstanceId('lane')])
+            await self._put(dispatcher, 'first', _SHORT)
+            await self._put(dispatcher, 'long', _LONG)
             now = 1.5
-            await self._put(desk, 'second', _SHORT)
+            await self._put(dispatcher, 'second', _SHORT)
             self.answers['first'].set_result(Advice({}, 1))
             await asyncio.sleep(0.01)
             self.assertEqual('long', self.asked[-1][1])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
     def test_a_question_without_answer_goes_to_another_lane(self) -> None:
         async def scenario() -> None:
-            desk = self._desk(2)
-            asking = await self._put(desk, 'a', _SHORT)
+            dispatcher = self._dispatcher(2)
+            asking = await self._put(dispatcher, 'a', _SHORT)
             self.answers['a'].set_result(None)
             await asyncio.sleep(0.02)
             lanes = {lane for lane, _ in self.asked}
@@ -146,7 +146,7 @@
             advice = await asking
             assert advice is not None
             self.assertEqual({'w': 't'}, advice.ticket_by_worker)
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -156,16 +156,16 @@
         """A burst of urgent tasks beside wide steps with long questions."""
 
         async def scenario() -> None:
-            desk = self._desk(10)
+            dispatcher = self._dispatcher(10)
             for number in range(3):
-                await self._put(desk, f'short-{number}', _SHORT)
+                await self._put(dispatcher, f'short-{number}', _SHORT)
             for number in range(3):
                 self.answers[f'short-{number}'].set_result(Advice({}, 1))
             for number in range(10):
-                await self._put(desk, f'long-{number}', _LONG)
+                await self._put(dispatcher, f'long-{number}', _LONG)
             asked = [key for _, key in self.asked if key.startswith('long')]
             self.assertEqual(7, len(asked))
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -173,11 +173,11 @@
         """More long questions than lanes, and hardly any short ones."""
 
         async def scenario() -> None:
-            desk = self._desk(10)
+            dispatcher = self._dispatcher(10)
             for number in range(20):
-                await self._put(desk, f'long-{number}', _LONG)
+                await self._put(dispatcher, f'long-{number}', _LONG)
             self.assertEqual(9, len(self.asked))
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -185,33 +185,33 @@
         """More questions than lanes, and more pressing ones keep coming."""
 
         async def scenario() -> None:
-            desk = self._desk(1)
-            await self._put(desk, 'first', _SHORT)
-            await self._put(desk, 'late', _SHORT, rank=9)
+            dispatcher = self._dispatcher(1)
+            await self._put(dispatcher, 'first', _SHORT)
+            await self._put(dispatcher, 'late', _SHORT, rank=9)
             for number in range(8):
-                await self._put(desk, f'urgent-{number}', _SHORT, rank=0)
+                await self._put(dispatcher, f'urgent-{number}', _SHORT, rank=0)
             for _ in range(5):
                 self.answers[self.asked[-1][1]].set_result(Advice({}, 1))
                 await asyncio.sleep(0.01)
             self.assertIn('late', [key for _, key in self.asked])
             self.assertEqual('urgent-0', self.asked[1][1])
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
     def test_a_question_that_is_no_longer_needed_takes_no_lane(self) -> None:
         async def scenario() -> None:
-            desk = self._desk(1)
-            await self._put(desk, 'first', _SHORT)
+            dispatcher = self._dispatcher(1)
+            await self._put(dispatcher, 'first', _SHORT)
             needed = [True]
             question = Question('done', [], _SHORT, (1,), lambda: needed[0])
-            asking = asyncio.create_task(desk.ask(question))
+            asking = asyncio.create_task(dispatcher.ask(question))
             await asyncio.sleep(0.01)
             needed[0] = False
             self.answers['first'].set_result(Advice({}, 1))
             self.assertIsNone(await asyncio.wait_for(asking, 1))
             self.assertEqual(1, len(self.asked))
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
@@ -219,8 +219,8 @@
         """The connection to a lane went silent for good; others work."""
 
         async def scenario() -> None:
-            desk = self._desk(2)
-            asking = await self._put(desk, 'urgent', _SHORT)
+            dispatcher = self._dispatcher(2)
+            asking = await self._put(dispatcher, 'urgent', _SHORT)
             silent = self.answers['urgent']
             await asyncio.sleep(0.3)
             self.assertEqual(2, len(self.asked))
@@ -231,14 +231,14 @@
             silent.set_result(None)
             await asyncio.sleep(0.01)
             self.assertEqual(2, len(self.asked))
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
 
     def test_a_call_that_fails_beside_another_waits_for_that(self) -> None:
         async def scenario() -> None:
-            desk = self._desk(2)
-            asking = await self._put(desk, 'urgent', _SHORT)
+            dispatcher = self._dispatcher(2)
+            asking = await self._put(dispatcher, 'urgent', _SHORT)
             silent = self.answers['urgent']
             await asyncio.sleep(0.3)
             silent.set_result(None)
@@ -247,6 +247,6 @@
             given = Advice({}, 1)
             self.answers['urgent'].set_result(given)
             self.assertEqual(given, await asyncio.wait_for(asking, 0.1))
-            desk.close()
+            dispatcher.close()
 
         self.run_async(scenario())
--- a/orchidrail/shard/tests/test_blocked_gangs.py
+++ b/orchidrail/shard/tests/test_blocked_gangs.py
@@ -44,7 +44,7 @@
             session = shard.tracked.session
             session.reachable = False
             now = shard.state.clock()
-            shard.state.began_at = now - 2 * _SILENT
+            shard.state.started_at = now - 2 * _SILENT
             session.heard_at = now - _SILENT
             lines = self.told(BlockedGangs(shard.state), step)
             told = lines.pop()
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -44,7 +44,7 @@
         record.accepted_at,
     )
     tickets = {WorkerId(worker): 'ticket' for worker in good}
-    step.permits.learn(list(tickets), tickets, 10)
+    step.permits.record_advice(list(tickets), tickets, 10)
     return step
 
 
@@ -89,7 +89,7 @@
         """Seen on a drawn day: away for 9.5 s with room on kept workers."""
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         task = step.tasks[0]
-        task.run, task.waits_since = RunNumber(1), 10
+        task.run, task.waiting_since = RunNumber(1), 10
         every = {tracked.worker for tracked in self.tracked}
         for now, expected in ((11, []), (13, ['c', 'b', 'a'])):
             workers = CandidateWorkers(self.tracked, now)
--- a/orchidrail/shard/tests/test_colocation.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -22,11 +22,11 @@
 _NOW: Seconds = 100.0
 _LONG: Seconds = 2.0
 _SERVING = StepSpec(1, Size(1000), lasting=True, target=0.1)
-_FILLING = StepSpec(1, Size(1000), fills=True)
+_FILLING = StepSpec(1, Size(1000), best_effort=True)
 _FILLING_MAY_MISS = StepSpec(
     1,
     Size(1000),
-    fills=True,
+    best_effort=True,
     lasting=True,
     may_miss=1,
 )
@@ -44,7 +44,7 @@
 
 def _waiting(spec: StepSpec, waited: Seconds) -> StepState:
     step = make_step(spec)
-    step.tasks[0].waits_since = _NOW - waited
+    step.tasks[0].waiting_since = _NOW - waited
     return step
 
 
@@ -79,7 +79,7 @@
             2,
             Size(1000),
             gang=True,
-            fills=True,
+            best_effort=True,
             most_per_worker=1,
         )
         serving = _holding(_SERVING)
@@ -109,7 +109,7 @@
         workers = CandidateWorkers([_holding(_SERVING)], _NOW)
         step = advised(_FILLING)
         self.assertEqual([], workers.unknown(step))
-        step.tasks[0].waits_since = _NOW - _LONG
+        step.tasks[0].waiting_since = _NOW - _LONG
         self.assertEqual(1, len(workers.unknown(step)))
 
 
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -25,7 +25,7 @@
 from orchidrail.shard.tracked_worker import STARTUP_CRASH_WINDOW, PlacedRun
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, WorkerId
-from orchidrail.work.job import GIVEN_UP_AT, Job
+from orchidrail.work.job import SUSPICION_LIMIT, Job
 from orchidrail.work.model import StepSpec
 from orchidrail.work.records import FailureCause, JobPhase, Progress
 from orchidrail.work.size import Size
@@ -134,8 +134,8 @@
             suspicion_of(lost, IncarnationEnd.CRASHED, calm=True)
             for lost in (first, trial, trial)
         ]
-        self.assertLess(sum(added[:2]), GIVEN_UP_AT)
-        self.assertGreaterEqual(sum(added), GIVEN_UP_AT)
+        self.assertLess(sum(added[:2]), SUSPICION_LIMIT)
+        self.assertGreaterEqual(sum(added), SUSPICION_LIMIT)
 
     def test_a_task_that_crashes_workers_at_once_is_soon_given_up(self) -> None:
         """Whatever else goes on, users allow two starts after the third."""
@@ -152,7 +152,7 @@
         ):
             lost = LostRun(task, RunNumber(1), young=True, trial=trial)
             added = suspicion_of(lost, end, calm)
-            self.assertGreaterEqual(_MOST_CRASHES * added, GIVEN_UP_AT)
+            self.assertGreaterEqual(_MOST_CRASHES * added, SUSPICION_LIMIT)
 
     def test_work_of_seconds_is_not_blamed_while_many_crash(self) -> None:
         task = make_step(StepSpec(1)).tasks[0]
@@ -310,7 +310,7 @@
             step = await _started(shard, suspicion=2)
             shard.tracked.crashed_at = shard.state.clock()
             await shard.crash()
-            self.assertLess(step.tasks[0].suspicion, GIVEN_UP_AT)
+            self.assertLess(step.tasks[0].suspicion, SUSPICION_LIMIT)
             worker = shard.tracked.worker
             address = shard.tracked.entry.address
             self.assertEqual(
@@ -327,7 +327,7 @@
             task = shard.add(make_job(StepSpec(1))).tasks[0]
             gone = WorkerId('gone')
             task.step.job.place(task, RunNumber(1), gone)
-            shard.state.unresolved_by_worker[gone] = [(task, task.run)]
+            shard.state.unresolved_runs[gone] = [(task, task.run)]
             shard.runs.give_up_worker(gone, IncarnationEnd.NEVER_REACHED)
             self.assertEqual(1, task.crashes)
 
@@ -335,7 +335,7 @@
 
     def test_what_is_given_up_says_why(self) -> None:
         async def scenario(shard: Shard) -> None:
-            step = await _started(shard, suspicion=GIVEN_UP_AT - 2)
+            step = await _started(shard, suspicion=SUSPICION_LIMIT - 2)
             await shard.crash()
             self.assertIs(JobPhase.FAILED, step.job.phase)
             self.assertIs(FailureCause.CRASHED_WORKERS, step.job.cause)
--- a/orchidrail/shard/tests/test_eligibility.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -81,7 +81,7 @@
     def test_a_ticket_that_ran_out_is_told_last(self) -> None:
         self.open_all()
         step = advised(StepSpec(1, _TASK), 'a', 'b', 'c', 'd')
-        step.permits.expire(WorkerId('a'))
+        step.permits.drop_ticket(WorkerId('a'))
         expected = {IneligibleReason.TICKET: 1, IneligibleReason.NONE: 3}
         self.assertEqual(expected, self.counts(step))
 
@@ -101,7 +101,7 @@
     def test_room_that_is_held_for_the_step_itself_is_no_obstacle(self) -> None:
         self.open_all()
         step = advised(StepSpec(1, _TASK), 'a')
-        step.permits.expire(WorkerId('a'))
+        step.permits.drop_ticket(WorkerId('a'))
         self.tracked[0].hold(step.key, Size(8000))
         self.assertEqual(1, self.counts(step)[IneligibleReason.TICKET])
 
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -222,7 +222,7 @@
             tracked.session._look_once = hang  # type: ignore[method-assign]
             await asyncio.sleep(READ_WAIT / 2)
             self.assertEqual(1, len(looks))
-            owner.doubt_connections()
+            owner.check_connections_soon()
             await asyncio.sleep(READ_WAIT / 10)
             self.assertEqual(0, looks[-1])
             self.assertEqual(2, len(looks))
--- a/orchidrail/shard/tests/test_job_tenancy.py
+++ b/orchidrail/shard/tests/test_job_tenancy.py
@@ -45,13 +45,13 @@
     EndedRecord,
     JobPhase,
     JobRecord,
-    LeftRun,
+    LingeringRun,
     decode_job,
     encode,
     job_key,
 )
 from orchidrail.work.size import Size
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 from orchidrail.work.tests.test_job import make_job
 
 _ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
@@ -133,7 +133,7 @@
             queue=encode(_QUEUE),
             spec=encode(_SPEC),
             patience=1,
-            tenant=b'' if tenant is NOBODY else encode(tenant),
+            tenant=b'' if tenant is ANONYMOUS_TENANT else encode(tenant),
         )
         return (await self.ask(owner, message)).code
 
@@ -170,7 +170,7 @@
             for tenant, code in (
                 (_STORES, WorkCode.OK),
                 (_BUYERS, WorkCode.OTHERS_JOB),
-                (NOBODY, WorkCode.OTHERS_JOB),
+                (ANONYMOUS_TENANT, WorkCode.OTHERS_JOB),
             ):
                 self.assertIs(code, await self.submit(owner, tenant))
             job = owner.state.job_by_id[_JOB]
@@ -205,7 +205,7 @@
         self.run_scenario(scenario, small)
 
     def test_runs_of_an_ended_job_count_until_they_are_over(self) -> None:
-        left = LeftRun(
+        left = LingeringRun(
             TaskKey(f'{_JOB}.0.0.1'),
             RunNumber(1),
             Size(2000, 10),
@@ -216,7 +216,7 @@
             JobPhase.CANCELLED,
             time.time(),
             tenant=_STORES,
-            left=(left,),
+            lingering_runs=(left,),
         )
 
         async def scenario(owner: ShardOwner) -> None:
@@ -225,8 +225,8 @@
             following = await self.take_over(1)
             ledger = following.state.ledger
             self.assertEqual(Size(2000, 10), ledger.used(_STORES.name))
-            for worker in list(following.state.unresolved_by_worker):
-                following.state.unresolved_by_worker.pop_runs(worker)
+            for worker in list(following.state.unresolved_runs):
+                following.state.unresolved_runs.pop_runs(worker)
             self.assertEqual(Size(), ledger.used(_STORES.name))
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -6,7 +6,7 @@
 
 from structlog.testing import capture_logs
 
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.tests.test_candidate_workers import advised
@@ -22,14 +22,14 @@
 class LoadReportTest(ShardTestCase):
     def test_the_load_tells_of_questions_and_calls(self) -> None:
         async def scenario(shard: Shard) -> None:
-            desk = AdviceDesk(self.fail, time.monotonic)
-            desk.use_lanes([InstanceId('lane')])
-            placer = Placer(shard.state, shard.runs, desk)
+            dispatcher = AdviceDispatcher(self.fail, time.monotonic)
+            dispatcher.use_lanes([InstanceId('lane')])
+            placer = Placer(shard.state, shard.runs, dispatcher)
             step = advised(StepSpec(1, _TASK))
-            with shard.state.open_questions.follow(step) as question:
+            with shard.state.pending_advice.track(step) as question:
                 question.state_since -= _WAITED
                 with capture_logs() as lines:
-                    LoadReport(shard.state, placer, desk).report()
+                    LoadReport(shard.state, placer, dispatcher).report()
             told = lines[-1]
             self.assertAlmostEqual(
                 _WAITED,
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -26,7 +26,7 @@
     """Return what is told of a step once it has waited for long."""
     now = time.monotonic()
     for task in step.startable():
-        task.waits_since = now
+        task.waiting_since = now
     shard.state.clock = lambda: now + _WAITED
     with capture_logs() as lines:
         LongWaitReporter(shard.state).report(
@@ -41,7 +41,7 @@
         async def scenario(shard: Shard) -> None:
             worker = shard.tracked.worker
             step = advised(StepSpec(1, _TASK), worker)
-            step.permits.expire(worker)
+            step.permits.drop_ticket(worker)
             told = _wait(shard, step)
             self.assertEqual({worker: 'ticket'}, told['idle'])
             fill(shard.tracked, 62)
@@ -61,7 +61,7 @@
         async def scenario(shard: Shard) -> None:
             step = advised(StepSpec(1, _TASK))
             self.assertNotIn('question', _wait(shard, step))
-            with shard.state.open_questions.follow(step) as question:
+            with shard.state.pending_advice.track(step) as question:
                 told = _wait(shard, step)
                 self.assertEqual('line', told['question_state'])
                 for name in ('question', 'question_in_state'):
@@ -107,7 +107,7 @@
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, _TASK)))
             step.job.place(step.tasks[0], RunNumber(1), WorkerId('unmet'))
-            shard.state.began_at -= 10
+            shard.state.started_at -= 10
             told = _wait(shard, step)
             self.assertAlmostEqual(10 + _WAITED, told['unheard'], delta=0.5)
 
@@ -122,7 +122,7 @@
                 for name in 'ab'
             ]
             for number, step in enumerate(steps):
-                step.tasks[0].waits_since = time.monotonic() - 10 + number
+                step.tasks[0].waiting_since = time.monotonic() - 10 + number
             waits = LongWaitReporter(shard.state)
             told = []
             with mock.patch.object(long_waits, '_MOST_EXAMINED', 1):
--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -19,7 +19,7 @@
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
-from orchidrail.work.step import StepState, in_turn
+from orchidrail.work.step import StepState, longest_waiting_first
 
 _CORES = 8
 #: Longest time for which a task that could run may not, in seconds.
@@ -31,8 +31,8 @@
 def _waiting(since: Seconds) -> StepState:
     """Return a step whose only task waits."""
     step = make_step(StepSpec(1, Size(4000)))
-    step.tasks[0].waits_since = since
-    step.noted_wait_since = since
+    step.tasks[0].waiting_since = since
+    step.recorded_waiting_since = since
     return step
 
 
@@ -64,7 +64,7 @@
         self,
     ) -> None:
         step = _waiting(0)
-        step.limited_at = 9.5
+        step.limit_reached_at = 9.5
         workers = CandidateWorkers(self.tracked, 10)
         self.assertIsNone(workers.overdue_since(step))
 
@@ -102,8 +102,8 @@
         """Guards against one task that takes each turn of its step."""
         step = make_step(StepSpec(3, Size(1000)))
         for task, since in zip(step.tasks, (9, 1, 2), strict=True):
-            task.waits_since = since
-        turns = [task.index for task in in_turn(step.startable())]
+            task.waiting_since = since
+        turns = [task.index for task in longest_waiting_first(step.startable())]
         self.assertEqual([1, 2, 0], turns)
 
     def test_a_step_is_not_kept_off_resting_workers_for_long(self) -> None:
@@ -140,6 +140,6 @@
     ) -> None:
         fill(self.tracked[0], _CORES)
         step = make_step(StepSpec(1, Size(4000), lasting=True))
-        step.tasks[0].run, step.tasks[0].waits_since = RunNumber(1), 0
+        step.tasks[0].run, step.tasks[0].waiting_since = RunNumber(1), 0
         workers = CandidateWorkers(self.tracked, _MAY_STAND_STILL)
         self.assertEqual(0, workers.overdue_since(step))
--- a/orchidrail/shard/tests/test_owner.py
+++ b/orchidrail/shard/tests/test_owner.py
@@ -41,7 +41,7 @@
         ask=_no_advice,
         clock=time.monotonic,
         wall_clock=time.time,
-        store_away=bool,
+        store_unreachable=bool,
         longest_lease=6,
         stop_takes=0,
         status_kept=120,
@@ -160,7 +160,7 @@
             self.store.fault = StoreFault.REFUSES
             owner.writer.confirmed_at -= 6
             self.assertFalse(owner._may_renew())
-            owner._ports = owner._ports._replace(store_away=lambda: True)
+            owner._ports = owner._ports._replace(store_unreachable=lambda: True)
             self.assertTrue(owner._may_renew())
             owner.resign()
             self.assertFalse(owner._may_renew())
--- a/orchidrail/shard/tests/test_pending_advice.py
+++ b/orchidrail/shard/tests/test_pending_advice.py
@@ -5,9 +5,12 @@
 import asyncio
 
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.advice_queue import Question
-from orchidrail.shard.pending_advice import OpenQuestions, QuestionState
+from orchidrail.shard.pending_advice import (
+    AdviceRequestState,
+    PendingAdviceRequests,
+)
 from orchidrail.shard.tests.test_worker_selection import make_step
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import InstanceId, Seconds, WorkerId
@@ -23,8 +26,8 @@
         super().setUp()
         self.now: Seconds = 10
         self.metrics = InstanceMetrics()
-        self.questions = OpenQuestions(self.clock, self.metrics)
-        self.desk = AdviceDesk(self._ask, self.clock)
+        self.questions = PendingAdviceRequests(self.clock, self.metrics)
+        self.dispatcher = AdviceDispatcher(self._ask, self.clock)
         self.calls: list[asyncio.Future[Advice | None]] = []
 
     def clock(self) -> Seconds:
@@ -42,7 +45,9 @@
 
     def use_lanes(self, lanes: int) -> None:
         """Let so many questions be asked at a time."""
-        self.desk.use_lanes([InstanceId(f'lane-{one}') for one in range(lanes)])
+        self.dispatcher.use_lanes(
+            [InstanceId(f'lane-{one}') for one in range(lanes)]
+        )
 
     async def ask(self, step: StepState) -> asyncio.Task[None]:
         asking = asyncio.create_task(self._follow(step))
@@ -64,9 +69,9 @@
     def age(
         self,
         step: StepState,
-    ) -> tuple[Seconds, QuestionState, Seconds] | None:
+    ) -> tuple[Seconds, AdviceRequestState, Seconds] | None:
         """Return how old a step's oldest question is, and its state."""
-        found = self.questions.oldest_of(step.key)
+        found = self.questions.oldest_for_step(step.key)
         if found is None:
             return None
         return (
@@ -76,9 +81,9 @@
         )
 
     async def _follow(self, step: StepState) -> None:
-        with self.questions.follow(step) as followed:
+        with self.questions.track(step) as followed:
             question = Question(step.key, [], _SHORT, (1,))
-            await self.desk.ask(
+            await self.dispatcher.ask(
                 question._replace(during_call=followed.during_call),
             )
 
@@ -87,13 +92,15 @@
             step = make_step(StepSpec(1))
             asking = await self.ask(step)
             self.now += 3
-            self.assertEqual((3, QuestionState.LINE, 3), self.age(step))
-            self.assertEqual(3, self.questions.longest_in_line())
+            self.assertEqual((3, AdviceRequestState.QUEUED, 3), self.age(step))
+            self.assertEqual(3, self.questions.longest_queue_wait())
             self.use_lanes(1)
             await asyncio.sleep(_SHORT)
             self.now += 2
-            self.assertEqual((5, QuestionState.CALL, 2), self.age(step))
-            self.assertEqual(0, self.questions.longest_in_line())
+            self.assertEqual(
+                (5, AdviceRequestState.IN_FLIGHT, 2), self.age(step)
+            )
+            self.assertEqual(0, self.questions.longest_queue_wait())
             await self.answer(0, Advice({}, 1))
             await asking
             self.assertIsNone(self.age(step))
@@ -112,8 +119,8 @@
             # The lane rests for a second, by the loop's clock.
             await self.answer(0, None)
             self.now += 4
-            self.assertEqual((6, QuestionState.LINE, 4), self.age(step))
-            self.assertEqual(4, self.questions.longest_in_line())
+            self.assertEqual((6, AdviceRequestState.QUEUED, 4), self.age(step))
+            self.assertEqual(4, self.questions.longest_queue_wait())
             asking.cancel()
             await asyncio.gather(asking, return_exceptions=True)
             self.assertIsNone(self.age(step))
@@ -131,7 +138,9 @@
             await asyncio.sleep(0.3)
             self.assertEqual(2, len(self.calls))
             self.now += 1
-            self.assertEqual((1, QuestionState.CALL, 1), self.age(step))
+            self.assertEqual(
+                (1, AdviceRequestState.IN_FLIGHT, 1), self.age(step)
+            )
             await self.answer(1, Advice({}, 1))
             await asking
             self.assertIsNone(self.age(step))
@@ -147,7 +156,7 @@
             asking = [await self.ask(step)]
             self.now += 1
             asking.append(await self.ask(step))
-            self.assertEqual((1, QuestionState.LINE, 1), self.age(step))
+            self.assertEqual((1, AdviceRequestState.QUEUED, 1), self.age(step))
             for one in asking:
                 one.cancel()
             await asyncio.gather(*asking, return_exceptions=True)
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -12,7 +12,7 @@
 from orchidrail.journal import JournalView, JournalWriter
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.long_waits import LongWaitReporter, WaitingWork
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
@@ -77,8 +77,8 @@
             InstanceMetrics(),
         )
         self.runs = RunTracker(self.state, self._note_fence, 0)
-        self.desk = AdviceDesk(self._ask, time.monotonic)
-        self.placer = Placer(self.state, self.runs, self.desk)
+        self.dispatcher = AdviceDispatcher(self._ask, time.monotonic)
+        self.placer = Placer(self.state, self.runs, self.dispatcher)
         self.questions: list[tuple[list[WorkerId], asyncio.Future[Advice]]] = []
 
     def _note_fence(self) -> None:
@@ -113,7 +113,7 @@
 
     def add(self, job: Job) -> None:
         self.state.job_by_id[job.job_id] = job
-        self.state.note_change(job)
+        self.state.mark_changed(job)
 
     async def answer(self, number: int, valid: Seconds) -> None:
         """Approve of all that a question names."""
@@ -151,7 +151,7 @@
     ) -> None:
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             gang = _make_job(
                 'a' * 16,
                 StepSpec(2, Size(20_000, 1), gang=True),
@@ -184,14 +184,14 @@
 
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             serving = StepSpec(1, Size(20_000, 1), lasting=True, target=0.1)
             serves = _make_job('a' * 16, serving, 1, advice=True)
             shard.add(serves)
             await asyncio.sleep(_SOON)
             # The tickets run out at once, so they are asked for again.
             await shard.answer(0, valid=0)
-            filling = StepSpec(1, Size(4000, 1), fills=True)
+            filling = StepSpec(1, Size(4000, 1), best_effort=True)
             fills = _make_job('b' * 16, filling, 1, advice=False)
             shard.add(fills)
             await asyncio.sleep(_SOON)
@@ -205,7 +205,7 @@
         async def scenario(shard: _Scene) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
-            shard.desk.use_lanes(
+            shard.dispatcher.use_lanes(
                 [InstanceId(f'l-{lane}') for lane in range(12)]
             )
             spec = StepSpec(2, Size(20_000, 1), gang=True)
@@ -222,7 +222,9 @@
         async def scenario(shard: _Scene) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
-            shard.desk.use_lanes([InstanceId(f'l-{lane}') for lane in range(9)])
+            shard.dispatcher.use_lanes(
+                [InstanceId(f'l-{lane}') for lane in range(9)]
+            )
             spec = StepSpec(2, Size(20_000, 1), gang=True)
             for name in ('a', 'b'):
                 shard.add(_make_job(name * 16, spec, 1, advice=True))
@@ -244,7 +246,7 @@
             for number in range(90):
                 await shard.add_worker(f'w-{number:02d}')
             lanes = [InstanceId(f'lane-{lane}') for lane in range(40)]
-            shard.desk.use_lanes(lanes)
+            shard.dispatcher.use_lanes(lanes)
             asked: list[int] = []
             for name, gang in (('a' * 16, False), ('b' * 16, True)):
                 spec = StepSpec(80, Size(8000, 1), gang=gang)
@@ -261,11 +263,11 @@
         """Have a wide step wait all of whose tickets have run out."""
         for number in range(_WIDE):
             await shard.add_worker(f'w-{number}')
-        shard.desk.use_lanes([InstanceId('first'), InstanceId('second')])
+        shard.dispatcher.use_lanes([InstanceId('first'), InstanceId('second')])
         job = _make_job('a' * 16, spec, 1, advice=True)
         step = job.steps(0)[0]
         every = list(shard.state.tracked_by_worker)
-        step.permits.learn(every, dict.fromkeys(every, 'old'), 0)
+        step.permits.record_advice(every, dict.fromkeys(every, 'old'), 0)
         shard.add(job)
         await asyncio.sleep(_SOON)
         return step
@@ -313,7 +315,7 @@
         async def scenario(shard: _Scene) -> None:
             for name in ('w-1', 'w-2', 'w-3', 'w-4'):
                 await shard.add_worker(name)
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             gang = StepSpec(2, Size(60_000, 1), gang=True)
             job = _make_job('a' * 16, gang, 1, advice=True)
             shard.add(job)
@@ -388,17 +390,17 @@
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
             lanes = [InstanceId(f'l-{lane}') for lane in range(4)]
-            shard.desk.use_lanes(lanes)
+            shard.dispatcher.use_lanes(lanes)
             spec = StepSpec(2, Size(20_000, 1))
             for number in range(40):
                 shard.add(_make_job(f'{number:016x}', spec, 1, advice=True))
             await asyncio.sleep(_SOON)
-            load = shard.desk.load()
+            load = shard.dispatcher.load()
             self.assertLessEqual(load['questions'], len(lanes) + 1)
             urgent = _make_job('f' * 16, spec, 0, advice=True)
             shard.add(urgent)
             await asyncio.sleep(_SOON)
-            self.assertEqual(1, urgent.steps(0)[0].permits.asking)
+            self.assertEqual(1, urgent.steps(0)[0].permits.calls_in_flight)
 
         self.run_scenario(scenario)
 
@@ -407,7 +409,7 @@
 
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000))
             for number in range(4):
                 shard.add(_make_job(f'{number:016x}', spec, 0, advice=True))
@@ -415,9 +417,9 @@
             shard.add(late)
             await asyncio.sleep(_SOON)
             step = late.steps(0)[0]
-            step.tasks[0].waits_since = time.monotonic() - 3
+            step.tasks[0].waiting_since = time.monotonic() - 3
             await asyncio.sleep(4 * _SOON)
-            self.assertEqual(1, step.permits.asking)
+            self.assertEqual(1, step.permits.calls_in_flight)
 
         self.run_scenario(scenario)
 
@@ -428,7 +430,7 @@
 
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1_000, 1))
             jobs = [
                 _make_job(f'{number:016x}', spec, 1, advice=True)
@@ -468,7 +470,7 @@
             task = blocked.steps(0)[0].tasks[0]
             self.assertIs(TaskPhase.WAITING, task.phase)
             shard.state.tracked_by_worker[busy].listed = False
-            shard.state.wanted.set()
+            shard.state.pass_requested.set()
             await asyncio.sleep(_SOON)
             self.assertEqual(other, task.worker)
 
@@ -490,7 +492,7 @@
             tracked = next(iter(shard.state.tracked_by_worker.values()))
             for key in list(tracked.run_by_key):
                 tracked.release(key)
-            shard.state.wanted.set()
+            shard.state.pass_requested.set()
             await asyncio.sleep(_SOON)
             self.assertIs(TaskPhase.PLACED, task.phase)
 
@@ -511,7 +513,9 @@
             store.fault = None
             await asyncio.sleep(0.4)
             self.assertIs(TaskPhase.PLACED, task.phase)
-            self.assertIn('journal', waiting.waits.describe(time.monotonic()))
+            self.assertIn(
+                'journal', waiting.wait_times.describe(time.monotonic())
+            )
 
         self.run_scenario(scenario)
 
@@ -553,7 +557,7 @@
     ) -> None:
         async def keep_changing(shard: _Scene) -> None:
             while True:
-                shard.state.wanted.set()
+                shard.state.pass_requested.set()
                 await asyncio.sleep(_SOON / 5)
 
         async def scenario(shard: _Scene) -> None:
@@ -571,7 +575,7 @@
     def test_a_job_tells_what_it_waited_for(self) -> None:
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1')
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             asking = _make_job('a' * 16, StepSpec(1, Size(1, 1)), 1, True)
             shard.add(asking)
             full = StepSpec(2, Size(64_000, 1))
@@ -581,7 +585,9 @@
             await shard.answer(0, valid=1.5)
             shard.placer.place_all()
             shard.placer.place_all()
-            self.assertIn('advice', asking.waits.describe(time.monotonic()))
-            self.assertIn('room', crowded.waits.describe(time.monotonic()))
+            self.assertIn(
+                'advice', asking.wait_times.describe(time.monotonic())
+            )
+            self.assertIn('room', crowded.wait_times.describe(time.monotonic()))
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -215,7 +215,7 @@
             step = shard.add(job)
             task = step.tasks[0]
             job.place(task, RunNumber(1), shard.tracked.worker)
-            shard.state.unresolved_by_worker[shard.tracked.worker] = [
+            shard.state.unresolved_runs[shard.tracked.worker] = [
                 (task, task.run)
             ]
             key = RunKey(task.key, RunNumber(1))
@@ -232,7 +232,7 @@
             step = shard.add(job)
             task = step.tasks[0]
             job.place(task, RunNumber(1), shard.tracked.worker)
-            shard.state.unresolved_by_worker[shard.tracked.worker] = [
+            shard.state.unresolved_runs[shard.tracked.worker] = [
                 (task, task.run)
             ]
             await shard.poll()
@@ -274,7 +274,7 @@
         """It stands still while others use all there is, and goes elsewhere."""
 
         async def scenario(shard: Shard) -> None:
-            shard.launch(shard.add(make_job(StepSpec(1, fills=True))))
+            shard.launch(shard.add(make_job(StepSpec(1, best_effort=True))))
             await asyncio.sleep(_SOON)
             await shard.poll()
             run = next(iter(shard.tracked.run_by_key.values()))
@@ -354,7 +354,7 @@
             task = shard.add(job).tasks[0]
             gone = WorkerId('gone')
             job.place(task, RunNumber(1), gone)
-            shard.state.unresolved_by_worker[gone] = [(task, task.run)]
+            shard.state.unresolved_runs[gone] = [(task, task.run)]
             key = RunKey(task.key, RunNumber(2))
             shard.worker.active[key] = ActiveRun(key, '', 50)
             await shard.poll()
--- a/orchidrail/shard/tests/test_waits_of_the_placer.py
+++ b/orchidrail/shard/tests/test_waits_of_the_placer.py
@@ -11,7 +11,7 @@
 from orchidrail.journal import JournalView, JournalWriter
 from orchidrail.journal.writer import take_over
 from orchidrail.metrics import InstanceMetrics
-from orchidrail.shard.advice_dispatcher import AdviceDesk
+from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.placer import Placer
 from orchidrail.shard.runs import RunTracker
 from orchidrail.shard.state import ShardState
@@ -31,7 +31,7 @@
 from orchidrail.work.job import Job
 from orchidrail.work.model import AdviceCost, MemberInfo, StepSpec
 from orchidrail.work.size import Size
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 from orchidrail.work.tests.test_job import make_job
 from orchidrail.workers.port import Advice, OrderResult
 from orchidrail.workers.run_lease import RunLease
@@ -64,8 +64,8 @@
             InstanceMetrics(),
         )
         self.runs = RunTracker(self.state, self._note_fence, 0)
-        self.desk = AdviceDesk(self._ask, self.clock)
-        self.placer = Placer(self.state, self.runs, self.desk)
+        self.dispatcher = AdviceDispatcher(self._ask, self.clock)
+        self.placer = Placer(self.state, self.runs, self.dispatcher)
         self.asked: list[list[WorkerId]] = []
         self.answers: list[asyncio.Future[Advice | None]] = []
 
@@ -108,7 +108,7 @@
         *,
         priority: int = 1,
         advice: AdviceCost | None = None,
-        tenant: Tenant = NOBODY,
+        tenant: Tenant = ANONYMOUS_TENANT,
         known: bool = True,
     ) -> Job:
         record = make_job(spec).record
@@ -129,13 +129,13 @@
             # Their tickets have run out.
             every = list(self.state.tracked_by_worker)
             permits = job.steps(0)[0].permits
-            permits.learn(every, dict.fromkeys(every, 'old'), 0)
+            permits.record_advice(every, dict.fromkeys(every, 'old'), 0)
         await self.poll(job)
         return job
 
     async def poll(self, job: Job) -> None:
-        self.state.note_change(job)
-        self.state.wanted.set()
+        self.state.mark_changed(job)
+        self.state.pass_requested.set()
         await asyncio.sleep(_SOON)
 
 
@@ -175,11 +175,11 @@
             tracked = await shard.add_worker('w-1', refuses)
             tracked.quarantine(shard.clock(), 100)
             job = await shard.add('a', StepSpec(1, Size(1000, 1)))
-            since = job.steps(0)[0].waits_since()
+            since = job.steps(0)[0].waiting_since()
             tracked.quarantined_until = 0
             await shard.poll(job)
             self.assertEqual(1, len(refuses.starts))
-            self.assertEqual(since, job.steps(0)[0].waits_since())
+            self.assertEqual(since, job.steps(0)[0].waiting_since())
 
         self.run_scenario(scenario)
 
@@ -224,7 +224,7 @@
             spec = StepSpec(3, Size(4000, 1))
             job = await shard.add('a', spec, tenant=tenant)
             shard.passed = _LONG_WAIT
-            job.steps(0)[0].tasks[0].waits_since = shard.clock()
+            job.steps(0)[0].tasks[0].waiting_since = shard.clock()
             tracked.quarantined_until = 0
             await shard.poll(job)
             self.assertEqual([0, 2], _waiting_tasks(job))
@@ -260,7 +260,7 @@
 
         async def scenario(shard: _Scene) -> None:
             await shard.add_worker('w-1', FakeWorker())
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000, 1))
             for name in '0123456':
                 await shard.add(name, spec, advice=_LONG_COST)
@@ -268,7 +268,7 @@
             step = job.steps(0)[0]
             shard.passed = _LONG_WAIT
             await shard.poll(job)
-            self.assertLess(0, step.permits.asking)
+            self.assertLess(0, step.permits.calls_in_flight)
 
         self.run_scenario(scenario)
 
@@ -285,7 +285,7 @@
                 tracked.hold('other', tracked.free)
             for tracked in every[1 : 1 + closed]:
                 tracked.listed = False
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             spec = StepSpec(names, Size(60_000, 1))
             await shard.add('a', spec, priority=0, advice=_QUICK_COST)
             asked.extend(shard.asked[0])
@@ -320,12 +320,12 @@
             first = await shard.add_worker('w-1', FakeWorker())
             second = await shard.add_worker('w-2', FakeWorker())
             second.hold('other', second.free)
-            shard.desk.use_lanes([InstanceId('lane')])
+            shard.dispatcher.use_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000, 1))
             job = await shard.add('a', spec, advice=_LONG_COST)
             step = job.steps(0)[0]
             until = shard.clock() + _LONG_WAIT
-            step.permits.learn(
+            step.permits.record_advice(
                 [second.worker],
                 {second.worker: 'new'},
                 until,
--- a/orchidrail/shard/tests/test_whole_wait.py
+++ b/orchidrail/shard/tests/test_whole_wait.py
@@ -32,8 +32,8 @@
     """Return a step all of whose tasks wait."""
     step = make_step(spec)
     for task in step.tasks:
-        task.waits_since = since
-    step.noted_wait_since = since
+        task.waiting_since = since
+    step.recorded_waiting_since = since
     return step
 
 
@@ -127,7 +127,7 @@
         """Guards against a tenant that floods the cell and goes first."""
         this_pass = self.pass_at(_LONG_WAIT, self.tracked, [])
         since = _LONG_WAIT - 1.1
-        beyond = Timing(60, 61, since, urgent=False, beyond=True)
+        beyond = Timing(60, 61, since, urgent=False, over_share=True)
         owed = Timing(12, 13, _LONG_WAIT - 0.5, urgent=False)
         ranks = [
             WaitingStep(timing, _waiting(StepSpec(1), began), []).rank(
@@ -144,8 +144,8 @@
         tracked = self.tracked[0]
         tracked.quarantine(0, 100)
         step = advised(StepSpec(1, _WHOLE), 'a', 'b')
-        step.tasks[0].waits_since = 0
-        step.noted_wait_since = 0
+        step.tasks[0].waiting_since = 0
+        step.recorded_waiting_since = 0
         step.failed_workers.note_failure(WorkerId('a'), _LONG_WAIT - 0.5)
         other = self.tracked[1]
         fill(other, _CORES)
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -95,7 +95,7 @@
     def test_what_fills_is_kept_from_what_serves(self) -> None:
         tracked = make_books('a')
         serving = StepSpec(1, size=Size(10), target=0.1, lasting=True)
-        filling = StepSpec(1, size=Size(10), fills=True)
+        filling = StepSpec(1, size=Size(10), best_effort=True)
         step = make_step(serving)
         key = RunKey(TaskKey(f'{step.key}.0'), RunNumber(1))
         run = PlacedRun(key, Size(10), step.tasks[0], 0)
--- a/orchidrail/shard/tracked_worker.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -63,10 +63,10 @@
 
     Examples
     --------
-    >>> role_of(StepSpec(1, fills=True))
+    >>> role_of(StepSpec(1, best_effort=True))
     <TaskRole.BEST_EFFORT: 'fills'>
     """
-    if spec.fills:
+    if spec.best_effort:
         return TaskRole.BEST_EFFORT
     return TaskRole.LATENCY_SENSITIVE if spec.target else TaskRole.PLAIN
 
@@ -361,7 +361,7 @@
         """Return how many more tasks of a step have room here."""
         if self.isolated_runs:
             return 0
-        fitting = size.times_in(self.free)
+        fitting = size.copies_in(self.free)
         if most:
             return min(fitting, most - self.count_by_step[step_key])
         return fitting
--- a/orchidrail/shard/worker_contact.py
+++ b/orchidrail/shard/worker_contact.py
@@ -29,4 +29,4 @@
     """Return when a worker was heard last, by this owner or since it began."""
     tracked = state.tracked_by_worker.get(worker)
     heard_at = -math.inf if tracked is None else tracked.session.heard_at
-    return max(heard_at, state.began_at)
+    return max(heard_at, state.started_at)
--- a/orchidrail/work/job.py
+++ b/orchidrail/work/job.py
@@ -23,11 +23,11 @@
 )
 from orchidrail.work.step import StepState, Task
 from orchidrail.work.tenant import Tenant
-from orchidrail.work.wait_times import Waits
+from orchidrail.work.wait_times import WaitTimes
 from orchidrail.workers.port import RunEnding
 
 #: Suspicion from which a task is given up, and its job with it.
-GIVEN_UP_AT = 8
+SUSPICION_LIMIT = 8
 _ENDINGS_THAT_COUNT = frozenset((RunEnding.FAILED,))
 
 
@@ -47,14 +47,14 @@
         self.record = record
         self.phase = JobPhase.QUEUED
         self.cause = FailureCause.NONE
-        self.begun = False
+        self.started = False
         #: Whether the journal is known to have the job.
         self.accepted = False
         #: The longest of its runs that went well, in seconds, and where.
         self.longest_run: Seconds = 0
-        self.longest_at = WorkerId('')
+        self.longest_run_worker = WorkerId('')
         #: What its tasks waited for, to explain later why it was late.
-        self.waits = Waits()
+        self.wait_times = WaitTimes()
         #: Every worker that a task was ever given to.
         self.workers: set[WorkerId] = set()
         self._steps_by_round: dict[int, list[StepState]] = {}
@@ -143,11 +143,11 @@
     def place(self, task: Task, run: RunNumber, worker: WorkerId) -> None:
         """Note that a run of a task is given to a worker."""
         task.phase = TaskPhase.PLACED
-        task.waits_since = None
+        task.waiting_since = None
         task.run = run
         task.worker = worker
         self.workers.add(worker)
-        self.begun = True
+        self.started = True
         if self.phase is JobPhase.QUEUED:
             self.phase = JobPhase.RUNNING
 
@@ -164,7 +164,7 @@
         not write it down. Its runs may end in any order here, and each failure
         counts, but none of a run that was given up.
         """
-        if task.phase is TaskPhase.DONE or run < task.oldest_run:
+        if task.phase is TaskPhase.DONE or run < task.first_open_run:
             return
         if run > task.run:
             self.place(task, run, task.worker)
@@ -174,9 +174,9 @@
         if latest and ending is RunEnding.DONE:
             self._succeed(task)
             return
-        if run in task.settled_runs:
+        if run in task.processed_runs:
             return
-        task.settled_runs.add(run)
+        task.processed_runs.add(run)
         if latest:
             task.phase = TaskPhase.WAITING
         if ending in _ENDINGS_THAT_COUNT:
@@ -195,11 +195,11 @@
             return False
         task.crashes += 1
         task.suspicion += suspicion
-        if task.suspicion >= GIVEN_UP_AT:
+        if task.suspicion >= SUSPICION_LIMIT:
             self._give_up(FailureCause.CRASHED_WORKERS)
         return True
 
-    def take_back_crash(self, task: Task, suspicion: int) -> None:
+    def retract_crash(self, task: Task, suspicion: int) -> None:
         """Take back a crash of a worker that has turned out to be alive."""
         task.crashes -= 1
         task.suspicion = max(0, task.suspicion - suspicion)
@@ -208,7 +208,7 @@
         """Note how long a run took, to explain later what held the job up."""
         if took > self.longest_run:
             self.longest_run = took
-            self.longest_at = worker
+            self.longest_run_worker = worker
 
     def failures(self) -> int:
         """Return how many runs of its tasks failed."""
@@ -244,7 +244,7 @@
             if task is not None:
                 task.restore(row)
                 self.workers.add(task.worker)
-                self.begun = True
+                self.started = True
         if progress.rows:
             self.phase = JobPhase.RUNNING
 
--- a/orchidrail/work/model.py
+++ b/orchidrail/work/model.py
@@ -14,7 +14,7 @@
     TenantId,
 )
 from orchidrail.work.size import Size
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 
 
 class StepSpec(msgspec.Struct, frozen=True, array_like=True):
@@ -50,7 +50,7 @@
         What the tasks run; tasks of one image behave alike.
     target : float
         Seconds that the tail of a lasting task's answers should stay under.
-    fills : bool
+    best_effort : bool
         The task uses processor time that others leave, and is not counted.
     may_miss : int
         Lasting tasks that the system may take away at one time.
@@ -70,7 +70,7 @@
     lasting: bool = False
     image: str = ''
     target: Seconds = 0
-    fills: bool = False
+    best_effort: bool = False
     may_miss: int = 0
 
     @property
@@ -78,17 +78,17 @@
         """The room that a task takes from its worker's books."""
         return (
             Size(0, self.size.megabytes, self.size.accelerators)
-            if (self.fills)
+            if (self.best_effort)
             else self.size
         )
 
 
-def size_at_once(step: StepSpec) -> Size:
+def concurrent_size(step: StepSpec) -> Size:
     """Return the least of a step that runs at one time.
 
     Examples
     --------
-    >>> size_at_once(StepSpec(3, Size(10, 5), gang=True))
+    >>> concurrent_size(StepSpec(3, Size(10, 5), gang=True))
     Size(millicores=30, megabytes=15, accelerators=0)
     """
     count = step.count if step.gang else 1
@@ -211,11 +211,11 @@
     ) -> Tenant | None:
         """Return for whom a call to a queue is, None if its key is unknown."""
         if self.keys is None:
-            return NOBODY
+            return ANONYMOUS_TENANT
         name = self.keys.identify(authorization)
         if name is not None:
             return self.tenant_by_name[name]
-        return NOBODY if queue.public else None
+        return ANONYMOUS_TENANT if queue.public else None
 
     def find_queue(self, host: str, path: str) -> QueueSettings | None:
         """Return the queue with the longest prefix of `path` at `host`."""
--- a/orchidrail/work/permits.py
+++ b/orchidrail/work/permits.py
@@ -14,31 +14,31 @@
     def __init__(self) -> None:
         """Know nothing."""
         #: Workers of which the service has said whether they may run it.
-        self.known: set[WorkerId] = set()
+        self.checked: set[WorkerId] = set()
         #: Those of them that may.
-        self.good: set[WorkerId] = set()
+        self.permitted: set[WorkerId] = set()
         self.ticket_by_worker: dict[WorkerId, str] = {}
         self.valid_until_by_worker: dict[WorkerId, Seconds] = {}
         #: Calls about the step that are under way.
-        self.asking = 0
+        self.calls_in_flight = 0
 
-    def learn(
+    def record_advice(
         self,
         asked: list[WorkerId],
         ticket_by_worker: dict[WorkerId, str],
         valid_until: Seconds,
     ) -> None:
         """Take the answer to a question about the workers `asked`."""
-        self.known.update(asked)
-        self.good.update(ticket_by_worker)
+        self.checked.update(asked)
+        self.permitted.update(ticket_by_worker)
         for worker, ticket in ticket_by_worker.items():
             self.ticket_by_worker[worker] = ticket
             self.valid_until_by_worker[worker] = valid_until
 
-    def fresh(self, worker: WorkerId, now: Seconds) -> bool:
+    def has_valid_ticket(self, worker: WorkerId, now: Seconds) -> bool:
         """Whether the worker's ticket still holds."""
         return self.valid_until_by_worker.get(worker, 0) > now
 
-    def expire(self, worker: WorkerId) -> None:
+    def drop_ticket(self, worker: WorkerId) -> None:
         """Forget a ticket that was refused."""
         self.valid_until_by_worker.pop(worker, None)
--- a/orchidrail/work/records.py
+++ b/orchidrail/work/records.py
@@ -19,7 +19,7 @@
 )
 from orchidrail.work.model import JobSpec, QueueSettings
 from orchidrail.work.size import Size
-from orchidrail.work.tenant import NOBODY, Tenant
+from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 
 #: Key of the record that names the shard's owner. It sorts behind all others,
 #: so that it can be listed alone, after `BEFORE_OWNER_KEY`.
@@ -84,12 +84,12 @@
     accepted_at: Seconds
     #: For whom it is run, as its share and limit were at that time; nobody in
     #: journals of versions without tenants.
-    tenant: Tenant = NOBODY
+    tenant: Tenant = ANONYMOUS_TENANT
     #: Whether it is beyond what its tenant is owed.
-    beyond: bool = False
+    over_share: bool = False
 
 
-class LeftRun(NamedTuple):
+class LingeringRun(NamedTuple):
     """A run that was being stopped when its job ended.
 
     Parameters
@@ -116,9 +116,9 @@
     ended_at: Seconds
     queue: str = ''
     cause: FailureCause = FailureCause.NONE
-    tenant: Tenant = NOBODY
+    tenant: Tenant = ANONYMOUS_TENANT
     #: Runs of it that may still have been there at its end.
-    left: tuple[LeftRun, ...] = ()
+    lingering_runs: tuple[LingeringRun, ...] = ()
 
 
 class TaskRow(msgspec.Struct, array_like=True):
--- a/orchidrail/work/size.py
+++ b/orchidrail/work/size.py
@@ -51,12 +51,12 @@
             and self.accelerators <= room.accelerators
         )
 
-    def times_in(self, room: Size) -> int:
+    def copies_in(self, room: Size) -> int:
         """Return how many of this size `room` holds together.
 
         Examples
         --------
-        >>> Size(2, 1).times_in(Size(7, 2))
+        >>> Size(2, 1).copies_in(Size(7, 2))
         2
         """
         counts = [
--- a/orchidrail/work/step.py
+++ b/orchidrail/work/step.py
@@ -26,14 +26,14 @@
         'checkpoint',
         'crashes',
         'failures',
+        'first_open_run',
         'index',
-        'oldest_run',
         'phase',
+        'processed_runs',
         'run',
-        'settled_runs',
         'step',
         'suspicion',
-        'waits_since',
+        'waiting_since',
         'worker',
     )
 
@@ -50,11 +50,11 @@
         self.crashes = 0
         self.suspicion = 0
         #: Runs whose ends were taken, or that were given up.
-        self.settled_runs: set[RunNumber] = set()
+        self.processed_runs: set[RunNumber] = set()
         #: Since when it could be placed, on its owner's steady clock.
-        self.waits_since: Seconds | None = None
+        self.waiting_since: Seconds | None = None
         #: Earlier runs ended under an owner before, which judged them.
-        self.oldest_run = RunNumber(0)
+        self.first_open_run = RunNumber(0)
 
     @property
     def key(self) -> TaskKey:
@@ -93,17 +93,17 @@
         self.crashes = row.crashes
         self.suspicion = row.suspicion
         judged = self.phase is not TaskPhase.PLACED
-        self.oldest_run = RunNumber(row.run + 1) if judged else row.run
+        self.first_open_run = RunNumber(row.run + 1) if judged else row.run
 
 
-def _waits_since(task: Task) -> Seconds:
+def _waiting_since(task: Task) -> Seconds:
     """Return since when a task waits; it may not have been noted yet."""
-    return math.inf if task.waits_since is None else task.waits_since
+    return math.inf if task.waiting_since is None else task.waiting_since
 
 
-def in_turn(tasks: list[Task]) -> list[Task]:
+def longest_waiting_first(tasks: list[Task]) -> list[Task]:
     """Return tasks in the order of their turn, the longest wait first."""
-    return sorted(tasks, key=_waits_since)
+    return sorted(tasks, key=_waiting_since)
 
 
 class StepState:
@@ -122,10 +122,10 @@
         self.permits = Permits()
         #: Since when the first of its tasks waits, as the last pass that looked
         #: for its turn has noted it, on its owner's steady clock.
-        self.noted_wait_since: Seconds | None = None
+        self.recorded_waiting_since: Seconds | None = None
         #: When its tenant's limit last kept a task of it from starting, on its
         #: owner's steady clock.
-        self.limited_at: Seconds = -math.inf
+        self.limit_reached_at: Seconds = -math.inf
         #: Workers on which its tasks failed; others are tried first.
         self.failed_workers = FailedWorkers()
 
@@ -146,25 +146,25 @@
         ]
         if self.spec.gang and len(waiting) < len(self.tasks):
             return []
-        return in_turn(waiting) if self.spec.lasting else waiting
+        return longest_waiting_first(waiting) if self.spec.lasting else waiting
 
-    def waits_since(self) -> Seconds | None:
+    def waiting_since(self) -> Seconds | None:
         """Return since when the first of its tasks that may start waits."""
         since = (
-            task.waits_since
+            task.waiting_since
             for task in self.startable()
-            if task.waits_since is not None
+            if task.waiting_since is not None
         )
         return min(since, default=None)
 
-    def away_since(self) -> Seconds | None:
+    def interrupted_since(self) -> Seconds | None:
         """Return since when a task that lasts, and was at work, waits."""
         if not self.spec.lasting:
             return None
         since = (
-            task.waits_since
+            task.waiting_since
             for task in self.tasks
-            if task.run and task.waits_since is not None
+            if task.run and task.waiting_since is not None
         )
         return min(since, default=None)
 
--- a/orchidrail/work/tenant.py
+++ b/orchidrail/work/tenant.py
@@ -27,7 +27,7 @@
     Examples
     --------
     >>> tenant = Tenant(TenantId('stores'), 2, Size(1000, 0))
-    >>> tenant.more_within(Size(200, 50), Size(300, 50))
+    >>> tenant.count_within_limit(Size(200, 50), Size(300, 50))
     2
     >>> tenant.ever_fits(Size(1001, 0))
     False
@@ -42,7 +42,7 @@
         """Whether anything bounds what it may have running."""
         return any(self.maximum)
 
-    def more_within(self, used: Size, size: Size) -> int:
+    def count_within_limit(self, used: Size, size: Size) -> int:
         """Return how many more tasks may run beside what it uses."""
         counts = [
             (most - taken) // part
@@ -53,8 +53,8 @@
 
     def ever_fits(self, size: Size) -> bool:
         """Whether so much may run for it when nothing else does."""
-        return self.more_within(Size(), size) > 0
+        return self.count_within_limit(Size(), size) > 0
 
 
 #: Whose jobs are those of callers that need no key.
-NOBODY = Tenant()
+ANONYMOUS_TENANT = Tenant()
--- a/orchidrail/work/tests/test_job.py
+++ b/orchidrail/work/tests/test_job.py
@@ -133,7 +133,7 @@
     ) -> None:
         step = next(make_job(StepSpec(3, lasting=True)).open_steps(0))
         for task, since in zip(step.tasks, (30, 10, None), strict=True):
-            task.waits_since = since
+            task.waiting_since = since
         ordered = [task.index for task in step.startable()]
         self.assertEqual([1, 0, 2], ordered)
 
--- a/orchidrail/work/wait_times.py
+++ b/orchidrail/work/wait_times.py
@@ -27,12 +27,12 @@
     LOST_WORKER = 'lostWorker'
 
 
-class Waits:
+class WaitTimes:
     """Seconds that one job has waited, by reason.
 
     Examples
     --------
-    >>> waits = Waits()
+    >>> waits = WaitTimes()
     >>> waits.note(WaitReason.ADVICE, now=10)
     >>> waits.note(None, now=12.5)
     >>> waits.describe(now=20)
--- a/soak/tests/test_starvation.py
+++ b/soak/tests/test_starvation.py
@@ -26,7 +26,7 @@
         self.used = Size()
 
     def rooms_for(self, step_key: str, step: dict[str, Any]) -> int:
-        return size_of(step).times_in(self.capacity - self.used)
+        return size_of(step).copies_in(self.capacity - self.used)
 
 
 class _Limits:
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -219,7 +219,7 @@
             self._machine,
         ):
             return 0
-        fitting = size_of(step).times_in(self.capacity - self.used)
+        fitting = size_of(step).copies_in(self.capacity - self.used)
         most: int = step.get('antiAffinity', 0)
         if not most:
             return fitting
--- a/standins/model/cell.py
+++ b/standins/model/cell.py
@@ -189,7 +189,7 @@
                 ask=self.workers.advice.ask,
                 clock=loop.time,
                 wall_clock=_wall_clock,
-                store_away=bool,
+                store_unreachable=bool,
                 longest_lease=6,
                 stop_takes=0,
                 status_kept=_STATUS_KEPT,
@@ -210,7 +210,7 @@
         await asyncio.sleep(drawn.arrives_at)
         known = JobId(job_id)
         settings, tenant = drawn.queue.settings, self._find_tenant(drawn.tenant)
-        if owner.objection(known, settings, drawn.spec, tenant) is None:
+        if owner.find_rejection(known, settings, drawn.spec, tenant) is None:
             taken = await owner.submit(
                 known,
                 settings,
--- a/standins/model/liveness.py
+++ b/standins/model/liveness.py
@@ -82,7 +82,7 @@
     at_once = step.spec.count if step.spec.gang else 1
     rooms = 0
     for tracked in owner.state.tracked_by_worker.values():
-        good = step.permits.good
+        good = step.permits.permitted
         if step.job.queue.advice is None or tracked.worker in good:
             rooms += tracked.slots_for(
                 step.key, size, step.spec.most_per_worker
--- a/standins/model/load.py
+++ b/standins/model/load.py
@@ -434,7 +434,7 @@
         lasting=queue.stays is not None,
         target=_TARGET if queue.serves else 0,
         # The days of other seeds stay as they are.
-        fills=bool(queue.fills) and random.random() < queue.fills,
+        best_effort=bool(queue.fills) and random.random() < queue.fills,
     )
     spread = 0 if step.gang else queue.work.spread / 2
     return step, [Draw(mean, spread).draw(random) for _ in range(tasks)]
--- a/standins/model/rooms.py
+++ b/standins/model/rooms.py
@@ -54,7 +54,7 @@
     free = worker.entry.capacity - used_on(workers, worker)
     if min(free) < 0:
         return 0
-    fitting = spec.charged.times_in(free)
+    fitting = spec.charged.copies_in(free)
     if not spec.most_per_worker:
         return fitting
     beside = sum(
