--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -48,8 +48,8 @@
 )
 from orchidrail.wire.transport import MessageServer, TcpTransport
 from orchidrail.work.model import MemberInfo
-from orchidrail.workers.incarnations import split_life
-from orchidrail.workers.port import Advice, NamedTickets
+from orchidrail.workers.incarnations import split_incarnation_id
+from orchidrail.workers.port import Advice, TicketsByName
 
 _log = structlog.get_logger()
 #: The platform's network is closed to others; daemons need no shared key.
@@ -69,7 +69,7 @@
         self.settings = settings
         self.metrics = InstanceMetrics()
         self._caller = HttpCaller()
-        self._caller.on_several_silent = self._doubt_connections
+        self._caller.on_many_unresponsive = self._doubt_connections
         self._caller.on_drop = self._note_drop
         self._transport = TcpTransport(settings.name, _NO_KEY)
         self.me = MemberInfo(
@@ -106,7 +106,7 @@
             self._transport,
             lambda: self.ownership.owner,
         )
-        self.ownership.store_answers = self._store_caller.direct_answers
+        self.ownership.store_answers = self._store_caller.direct_route_works
         self.ownership.hand_over = self._hand_over.hand_over_to
         self.config = ConfigFollower(
             JournalView(self._store, OPERATOR_TOPIC),
@@ -260,7 +260,9 @@
         timeout: Seconds,
     ) -> Advice | None:
         """Ask by the workers' names; the answer is for the lives asked for."""
-        worker_by_name = {split_life(worker)[0]: worker for worker in workers}
+        worker_by_name = {
+            split_incarnation_id(worker)[0]: worker for worker in workers
+        }
         names = list(worker_by_name)
         given = await self._ask_by_names(lane, step_key, names, timeout)
         if given is None:
@@ -278,7 +280,7 @@
         step_key: str,
         names: list[WorkerName],
         timeout: Seconds,
-    ) -> NamedTickets | None:
+    ) -> TicketsByName | None:
         if lane == self.me.name:
             return await self._advice.advise(step_key, names, timeout)
         address = next(
@@ -302,4 +304,4 @@
         if not isinstance(given, AdviceGiven) or not given.known:
             return None
         tickets = dict(zip(given.workers, given.tickets, strict=True))
-        return NamedTickets(tickets, given.valid)
+        return TicketsByName(tickets, given.valid)
--- a/orchidrail/instance/ownership.py
+++ b/orchidrail/instance/ownership.py
@@ -31,8 +31,8 @@
 _DENIALS = 3
 #: Silence after which the journal is watched for signs of the owner.
 _WATCH_AFTER: Seconds = 0.25
-#: An owner writes each `CONFIRM_EVERY` (0.2 s) or more often, which takes 6 ms:
-#: a journal that stood still for this long has no owner that can write.
+#: An owner writes each `CONFIRM_INTERVAL` (0.2 s) or more often, which takes
+#: 6 ms: a journal that stood still for this long has no owner that can write.
 _STILL_FOR: Seconds = 0.3
 #: How long a standby counts after its last word: with 43 processes two of them
 #: speak to each other each 1.8 s or so, by chance. The standbys of other zones
--- a/orchidrail/instance/peer_service.py
+++ b/orchidrail/instance/peer_service.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from orchidrail.store.relay import Caller, RawCall
+from orchidrail.store.relay import RawCall, SendCall
 from orchidrail.types import RefusalCode, Seconds, WorkCode
 from orchidrail.wire.messages import (
     Ack,
@@ -70,7 +70,7 @@
         self,
         table: PeerTable,
         ownership: Ownership,
-        store_call: Caller,
+        store_call: SendCall,
         advice: AdviceCalls,
     ) -> None:
         """Hold what the answers need."""
--- a/orchidrail/instance/store_relays.py
+++ b/orchidrail/instance/store_relays.py
@@ -71,7 +71,7 @@
         peer: MemberInfo,
         call: RawCall,
     ) -> RawAnswer:
-        patience = min(call.timeout, DIRECT_TIMEOUT + call.waits)
+        patience = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
         slack = _READ_SLACK if call.method == 'GET' else RELAY_SLACK
         outcome = await self._transport.call(
             peer.address,
@@ -80,7 +80,7 @@
                 target=call.target,
                 body=call.body,
                 timeout=patience,
-                waits=call.waits,
+                waits=call.max_hold,
             ),
             patience + slack,
         )
--- a/orchidrail/jobs/attempts.py
+++ b/orchidrail/jobs/attempts.py
@@ -67,17 +67,17 @@
         return cls(WorkerId(worker), boot, Address(address), TaskId(task))
 
 
-def recovered_mark(job: JobId, generation: int) -> TaskId:
+def recovered_marker(job: JobId, generation: int) -> TaskId:
     """Return the key of the mark that all earlier claims were copied."""
     return TaskId(f'recovered/{job}/{generation}')
 
 
-def refused_mark(job: JobId, generation: int) -> TaskId:
+def refused_marker(job: JobId, generation: int) -> TaskId:
     """Return the key of the mark that an owner found the job refused."""
     return TaskId(f'ended/{job}/refused/{generation}')
 
 
-def ended_mark(job: JobId) -> TaskId:
+def ended_marker(job: JobId) -> TaskId:
     """Return the key of the mark that a job has ended."""
     return TaskId(f'ended/{job}')
 
--- a/orchidrail/jobs/book.py
+++ b/orchidrail/jobs/book.py
@@ -16,7 +16,7 @@
     JobRecord,
     decode_record,
 )
-from orchidrail.jobs.witnesses import Witness, Witnesses
+from orchidrail.jobs.witnesses import Witness, WitnessPair
 from orchidrail.logservice.ports import LogRecord
 from orchidrail.logstream.group_commit import split_group
 from orchidrail.types import JobId, Offset, Seconds, WorkerId
@@ -37,7 +37,7 @@
         self.witness = Witness(spec.witness, spec.witness_boot)
         self.backup = Witness(spec.backup, spec.backup_boot)
         #: The witnesses of earlier generations, the newest first.
-        self.former: tuple[Witnesses, ...] = tuple(accepted.former)
+        self.former: tuple[WitnessPair, ...] = tuple(accepted.former)
         if accepted.witness:
             self.witness = Witness(accepted.witness, accepted.witness_boot)
             self.backup = Witness(accepted.backup, accepted.backup_boot)
@@ -139,7 +139,7 @@
             return
         entry.generation = record.generation
         # Until the new owner has copied the claims, they are kept there.
-        past = Witnesses(record.generation - 1, entry.witness, entry.backup)
+        past = WitnessPair(record.generation - 1, entry.witness, entry.backup)
         entry.former = (past, *entry.former)
         entry.witness = Witness(record.witness, record.witness_boot)
         entry.backup = Witness(record.backup, record.backup_boot)
--- a/orchidrail/jobs/owned_job.py
+++ b/orchidrail/jobs/owned_job.py
@@ -16,7 +16,7 @@
     from orchidrail.types import SchedulerId
 
 
-class Ending(Enum):
+class AttemptOutcome(Enum):
     """How one attempt of a group ended."""
 
     FINISHED = 'finished'
@@ -28,7 +28,7 @@
     LOST = 'lost'
 
 
-class Next(Enum):
+class OutcomeAction(Enum):
     """What follows from an ending."""
 
     KEEP = 'keep'
@@ -39,41 +39,52 @@
 
 
 #: By ending, and whether the class may be repeated.
-RULES: dict[tuple[Ending, bool], Next] = {
-    (Ending.FINISHED, True): Next.KEEP,
-    (Ending.FINISHED, False): Next.KEEP,
-    (Ending.FAILED, True): Next.RETRY_COUNTED,
-    (Ending.FAILED, False): Next.FAIL,
-    (Ending.STOPPED, True): Next.RETRY,
-    (Ending.STOPPED, False): Next.RETRY,
-    (Ending.LOST, True): Next.RETRY,
-    (Ending.LOST, False): Next.FAIL_MAY_HAVE_RUN,
+ACTION_BY_OUTCOME: dict[tuple[AttemptOutcome, bool], OutcomeAction] = {
+    (AttemptOutcome.FINISHED, True): OutcomeAction.KEEP,
+    (AttemptOutcome.FINISHED, False): OutcomeAction.KEEP,
+    (AttemptOutcome.FAILED, True): OutcomeAction.RETRY_COUNTED,
+    (AttemptOutcome.FAILED, False): OutcomeAction.FAIL,
+    (AttemptOutcome.STOPPED, True): OutcomeAction.RETRY,
+    (AttemptOutcome.STOPPED, False): OutcomeAction.RETRY,
+    (AttemptOutcome.LOST, True): OutcomeAction.RETRY,
+    (AttemptOutcome.LOST, False): OutcomeAction.FAIL_MAY_HAVE_RUN,
 }
 
 _ENDING_BY_STATE = {
-    TaskState.FINISHED: Ending.FINISHED,
-    TaskState.FAILED: Ending.FAILED,
-    TaskState.STOPPED: Ending.STOPPED,
-    TaskState.NEVER_STARTED: Ending.STOPPED,
+    TaskState.FINISHED: AttemptOutcome.FINISHED,
+    TaskState.FAILED: AttemptOutcome.FAILED,
+    TaskState.STOPPED: AttemptOutcome.STOPPED,
+    TaskState.NEVER_STARTED: AttemptOutcome.STOPPED,
 }
 #: The worst of a group's endings decides for the group.
-_SEVERITY = (Ending.FINISHED, Ending.STOPPED, Ending.FAILED, Ending.LOST)
+_SEVERITY = (
+    AttemptOutcome.FINISHED,
+    AttemptOutcome.STOPPED,
+    AttemptOutcome.FAILED,
+    AttemptOutcome.LOST,
+)
 
 
-def ending_of(report: TaskReport | None) -> Ending:
+def outcome_of(report: TaskReport | None) -> AttemptOutcome:
     """Return how one task ended; None stands for a worker that is gone."""
     if report is None:
-        return Ending.LOST
+        return AttemptOutcome.LOST
     return _ENDING_BY_STATE[report.state]
 
 
-def worst(endings: list[Ending]) -> Ending:
+def worst_outcome(endings: list[AttemptOutcome]) -> AttemptOutcome:
     """Return the ending that decides for a whole group.
 
     Examples
     --------
-    >>> worst([Ending.FINISHED, Ending.LOST, Ending.STOPPED])
-    <Ending.LOST: 'lost'>
+    >>> worst_outcome(
+    ...     [
+    ...         AttemptOutcome.FINISHED,
+    ...         AttemptOutcome.LOST,
+    ...         AttemptOutcome.STOPPED,
+    ...     ]
+    ... )
+    <AttemptOutcome.LOST: 'lost'>
     """
     return max(endings, key=_SEVERITY.index)
 
@@ -115,9 +126,9 @@
             if report is not None and report.state is TaskState.FAILED
         }
 
-    def count_loss(self, ending: Ending) -> None:
+    def count_loss(self, ending: AttemptOutcome) -> None:
         """Count attempts in a row that ended with a worker."""
-        self.losses = self.losses + 1 if ending is Ending.LOST else 0
+        self.losses = self.losses + 1 if ending is AttemptOutcome.LOST else 0
 
     def take_reports(
         self,
--- a/orchidrail/jobs/records.py
+++ b/orchidrail/jobs/records.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from orchidrail.jobs.witnesses import Witnesses
+from orchidrail.jobs.witnesses import WitnessPair
 from orchidrail.types import JobId, JobState, WorkerId
 from orchidrail.wire.messages import JobSpec
 
@@ -31,7 +31,7 @@
     backup_boot: str = ''
     cancelled: bool = False
     #: The witnesses of earlier generations, the newest first.
-    former: list[Witnesses] = []
+    former: list[WitnessPair] = []
 
 
 class JobMoved(_Record, frozen=True, tag='moved'):
--- a/orchidrail/jobs/witnesses.py
+++ b/orchidrail/jobs/witnesses.py
@@ -14,7 +14,7 @@
     boot: str
 
 
-class Witnesses(NamedTuple):
+class WitnessPair(NamedTuple):
     """The two workers that keep a generation's claims; either has all."""
 
     generation: int
--- a/orchidrail/journal/appending.py
+++ b/orchidrail/journal/appending.py
@@ -23,32 +23,32 @@
 _log = structlog.get_logger()
 
 
-class Place(Enum):
+class AppendStatus(Enum):
     """Whose records are at the place that an append names."""
 
     #: Those of the append.
-    OURS = 'ours'
+    WRITTEN = 'ours'
     #: Another's, for good: the append can't be carried out any more.
-    THEIRS = 'theirs'
+    CONFLICT = 'theirs'
     #: Nobody's yet: the store has refused the append.
-    FREE = 'free'
+    NOT_WRITTEN = 'free'
     #: Not known: the append may have been carried out, or may be yet.
     UNKNOWN = 'unknown'
 
 
 #: What ends the tries of an append.
-DECIDED = frozenset((Place.OURS, Place.THEIRS))
+FINAL_STATUSES = frozenset((AppendStatus.WRITTEN, AppendStatus.CONFLICT))
 
 
 async def append_once(
     view: JournalView,
     records: list[KeyedRecord],
     expected: Offset,
-) -> Place:
+) -> AppendStatus:
     """Try to append at the end `expected`; tell what is known of that place.
 
-    After `FREE` and `UNKNOWN` the append is to be tried again at that end,
-    after `UNKNOWN` with the same records.
+    After `NOT_WRITTEN` and `UNKNOWN` the append is to be tried again at that
+    end, after `UNKNOWN` with the same records.
     """
     async with view.lock:
         return await _append_locked(view, records, expected)
@@ -58,29 +58,29 @@
     view: JournalView,
     records: list[KeyedRecord],
     expected: Offset,
-) -> Place:
+) -> AppendStatus:
     outcome = await view.store.append(view.topic, records, expected)
     if isinstance(outcome, Appended):
         view.apply(records, outcome.end)
-        return Place.OURS
+        return AppendStatus.WRITTEN
     if isinstance(outcome, (EndMoved, Uncertain)):
-        return await _look_whose(view, records, expected)
+        return await _read_back(view, records, expected)
     _log.info('append not taken', reason=outcome.reason, at=expected)
-    return Place.FREE
+    return AppendStatus.NOT_WRITTEN
 
 
-async def _look_whose(
+async def _read_back(
     view: JournalView,
     records: list[KeyedRecord],
     expected: Offset,
-) -> Place:
+) -> AppendStatus:
     page = await view.store.read(view.topic, expected)
     if isinstance(page, Trimmed):
-        return Place.THEIRS
+        return AppendStatus.CONFLICT
     if isinstance(page, Unavailable) or not page.records:
-        return Place.UNKNOWN
+        return AppendStatus.UNKNOWN
     found = page.records[: len(records)]
     end = Offset(expected + len(page.records))
     if view.end is None or end > view.end:
         view.apply(page.records, end)
-    return Place.OURS if found == records else Place.THEIRS
+    return AppendStatus.WRITTEN if found == records else AppendStatus.CONFLICT
--- a/orchidrail/journal/follower.py
+++ b/orchidrail/journal/follower.py
@@ -64,13 +64,13 @@
         for _ in range(_LISTING_TRIES):
             if self.end is None and not await self._list_all():
                 return False
-            if not await self._read_on(wait):
+            if not await self._read_forward(wait):
                 return False
             if self.end is not None:
                 return True
         return False
 
-    async def _read_on(self, wait: Seconds) -> bool:
+    async def _read_forward(self, wait: Seconds) -> bool:
         while self.end is not None:
             outcome = await self.store.read(self.topic, self.end, wait)
             if isinstance(outcome, Unavailable):
--- a/orchidrail/journal/tests/test_writer.py
+++ b/orchidrail/journal/tests/test_writer.py
@@ -11,7 +11,7 @@
 from testtools.matchers import HasLength
 
 from orchidrail.journal import JournalView, JournalWriter, TakeOverError
-from orchidrail.journal.appending import Place, append_once
+from orchidrail.journal.appending import AppendStatus, append_once
 from orchidrail.journal.writer import (
     current_owner,
     read_owner,
@@ -114,12 +114,12 @@
             self.store.fault = StoreFault.REFUSES
             record = [KeyedRecord('owner', b'late')]
             place = await append_once(view, record, Offset(0))
-            self.assertIs(Place.FREE, place)
+            self.assertIs(AppendStatus.NOT_WRITTEN, place)
             self.store.fault = None
             await self._take('b', 0)
             await view.catch_up()
             place = await append_once(view, record, Offset(0))
-            self.assertIs(Place.THEIRS, place)
+            self.assertIs(AppendStatus.CONFLICT, place)
 
         self._run(contend())
 
--- a/orchidrail/journal/writer.py
+++ b/orchidrail/journal/writer.py
@@ -14,7 +14,11 @@
 
 import structlog
 
-from orchidrail.journal.appending import DECIDED, Place, append_once
+from orchidrail.journal.appending import (
+    FINAL_STATUSES,
+    AppendStatus,
+    append_once,
+)
 from orchidrail.store import (
     KeyedRecord,
     Unavailable,
@@ -38,9 +42,9 @@
 #: Pause between tries at a store that refuses; its calls have a price.
 _RETRY_PAUSE: Seconds = 0.1
 #: Least time between two appends: each call has a price, each wait delays.
-_PACE: Seconds = 0.008
+_APPEND_INTERVAL: Seconds = 0.008
 #: An owner writes at least this often, so that it knows that it still owns.
-CONFIRM_EVERY: Seconds = 0.2
+CONFIRM_INTERVAL: Seconds = 0.2
 #: A confirmation counts for this long. Others take over without being asked
 #: only from a journal that has stood still for 0.3 s.
 _CONFIRMED_FOR: Seconds = 0.25
@@ -77,7 +81,7 @@
         """Return whether the batch is in the store, once that is known."""
         return await asyncio.shield(self._decided)
 
-    def then(self, callback: Callable[[bool], None]) -> None:
+    def on_decided(self, callback: Callable[[bool], None]) -> None:
         """Call back with the outcome, once that is known."""
         self._decided.add_done_callback(
             lambda decided: callback(decided.result())
@@ -115,7 +119,7 @@
         #: When the last append that succeeded was sent.
         self.confirmed_at = clock()
         #: Why the last try failed, empty while appends succeed.
-        self.trouble = ''
+        self.last_error = ''
         self._clock = clock
         self._value_by_key: dict[str, bytes] = {}
         self._bytes = 0
@@ -178,7 +182,7 @@
         while not self.fenced.is_set():
             await self._wait_for_work()
             await self._write_batch()
-            await asyncio.sleep(_PACE)
+            await asyncio.sleep(_APPEND_INTERVAL)
 
     async def flush(self) -> bool:
         """Wait until all that was put before is written; tell whether it is."""
@@ -188,7 +192,7 @@
 
     async def _wait_for_work(self) -> None:
         try:
-            await asyncio.wait_for(self._wanted.wait(), CONFIRM_EVERY)
+            await asyncio.wait_for(self._wanted.wait(), CONFIRM_INTERVAL)
         except (TimeoutError, asyncio.TimeoutError):
             self._value_by_key.setdefault(OWNER_KEY, encode(self.owner))
 
@@ -204,11 +208,11 @@
         self._wanted.clear()
         for chunk in _chunks(records):
             if not await self._append(chunk, commit):
-                self._lose_ownership(commit)
+                self._mark_fenced(commit)
                 return
         commit.decide(committed=True)
 
-    def _lose_ownership(self, commit: Commit) -> None:
+    def _mark_fenced(self, commit: Commit) -> None:
         self.fenced.set()
         commit.decide(committed=False)
         self._commit.decide(committed=False)
@@ -229,17 +233,17 @@
             commit.may_be_written = True
             sent_at = self._clock()
             place = await append_once(self.view, records, self._end)
-            if place in DECIDED:
-                self.trouble = ''
+            if place in FINAL_STATUSES:
+                self.last_error = ''
                 break
-            self.trouble = 'no append taken'
-            doubtful = doubtful or place is Place.UNKNOWN
+            self.last_error = 'no append taken'
+            doubtful = doubtful or place is AppendStatus.UNKNOWN
             commit.may_be_written = doubtful or written_before
             self._refused = [] if commit.may_be_written else records
             await asyncio.sleep(_RETRY_PAUSE)
             records = records if commit.may_be_written else self._refused
             self._refused = []
-        if place is Place.THEIRS:
+        if place is AppendStatus.CONFLICT:
             commit.may_be_written = written_before
             return False
         self._end = Offset(self._end + len(records))
@@ -281,10 +285,10 @@
     assert view.end is not None
     expected = view.end
     place = await append_once(view, [record], expected)
-    while place not in DECIDED:
+    while place not in FINAL_STATUSES:
         await asyncio.sleep(_RETRY_PAUSE)
         place = await append_once(view, [record], expected)
-    if place is Place.THEIRS:
+    if place is AppendStatus.CONFLICT:
         raise TakeOverError('another process wrote first')
     return JournalWriter(view, owner, clock, Offset(expected + 1))
 
--- a/orchidrail/leasing/lease.py
+++ b/orchidrail/leasing/lease.py
@@ -12,7 +12,7 @@
 from orchidrail.types import Epoch, Seconds
 
 #: Assumed bound on how much faster one monotonic clock runs than another.
-CLOCK_DRIFT = 0.01
+MAX_CLOCK_DRIFT = 0.01
 
 
 class HeldLease(msgspec.Struct, frozen=True):
@@ -45,7 +45,7 @@
 
     def remaining(self, now: Seconds) -> Seconds:
         """Return how long the authority still lasts, never below zero."""
-        return max(0, self.sent_at + self.ttl * (1 - CLOCK_DRIFT) - now)
+        return max(0, self.sent_at + self.ttl * (1 - MAX_CLOCK_DRIFT) - now)
 
     def valid(self, now: Seconds) -> bool:
         """Tell whether the holder may act at monotonic time `now`."""
--- a/orchidrail/membership/view.py
+++ b/orchidrail/membership/view.py
@@ -26,7 +26,7 @@
 _DIGESTS_PER_EXCHANGE = 32
 
 
-class _Heard(NamedTuple):
+class _SeenMember(NamedTuple):
     state: MemberState
     at: Seconds
 
@@ -66,7 +66,7 @@
         self.leaving_workers: dict[WorkerId, Seconds] = {}
         self.digest_by_zone: dict[ZoneId, ZoneDigest] = {}
         self._random = random
-        self._heard_by_name: dict[SchedulerId, _Heard] = {}
+        self._last_seen_by_name: dict[SchedulerId, _SeenMember] = {}
 
     def take(self, gossip: Gossip, now: Seconds) -> None:
         """Learn from one exchange; older news is dropped."""
@@ -80,7 +80,7 @@
 
     def exchange(self) -> Gossip:
         """Return what to tell a peer, of constant size."""
-        heard = list(self._heard_by_name.values())
+        heard = list(self._last_seen_by_name.values())
         chosen = self._random.sample(
             heard,
             min(len(heard), MEMBERS_PER_EXCHANGE - 1),
@@ -97,7 +97,7 @@
         """Return the members of the zone that seem able to hold workers."""
         others = [
             name
-            for name, heard in self._heard_by_name.items()
+            for name, heard in self._last_seen_by_name.items()
             if now - heard.at <= self.timeout and not heard.state.leaving
         ]
         mine = [] if self.me.leaving else [self.me.name]
@@ -113,7 +113,7 @@
         """Return the other members that were heard of lately."""
         return [
             heard.state
-            for heard in self._heard_by_name.values()
+            for heard in self._last_seen_by_name.values()
             if now - heard.at <= self.timeout
         ]
 
@@ -131,7 +131,7 @@
 
     def address_of(self, name: SchedulerId) -> Address | None:
         """Return a member's address, if it is known."""
-        heard = self._heard_by_name.get(name)
+        heard = self._last_seen_by_name.get(name)
         return None if heard is None else heard.state.address
 
     def newest_bundle(self, now: Seconds) -> MemberState | None:
@@ -165,9 +165,9 @@
     def _take_member(self, state: MemberState, now: Seconds) -> None:
         if state.name == self.me.name:
             return
-        known = self._heard_by_name.get(state.name)
+        known = self._last_seen_by_name.get(state.name)
         if known is None or _age(state) > _age(known.state):
-            self._heard_by_name[state.name] = _Heard(state, now)
+            self._last_seen_by_name[state.name] = _SeenMember(state, now)
 
     def _take_digest(self, digest: ZoneDigest) -> None:
         known = self.digest_by_zone.get(digest.zone)
--- a/orchidrail/platform/callers.py
+++ b/orchidrail/platform/callers.py
@@ -34,7 +34,7 @@
 _HEX = frozenset(string.hexdigits.lower())
 _MILLIS = 1000
 #: Patience of a caller that names none.
-_PATIENCE: Seconds = 3
+_DEFAULT_TIMEOUT: Seconds = 3
 #: Part of the caller's patience that the answer needs on its way back.
 _ANSWER_TRAVELS: Seconds = 0.1
 _WORD_BY_PHASE = {
@@ -149,7 +149,7 @@
         if not target.job_id:
             return _text(HTTPStatus.NOT_FOUND, 'a job needs an id')
         limits = target.config.limits
-        patience = _patience(request, target.queue)
+        patience = _time_budget(request, target.queue)
         try:
             async with asyncio.timeout(patience):
                 body = await _read_body(request, limits.body_bytes)
@@ -167,7 +167,7 @@
             target.job_id,
             target.queue,
             decoded.ok_value,
-            _patience(request, target.queue),
+            _time_budget(request, target.queue),
             target.caller,
         )
         status = _SUBMIT_STATUS[answer.code]
@@ -182,7 +182,7 @@
             return _json(_encode({'pending': waiting}))
         answer = await self._forwarder.query(
             target.job_id,
-            _patience(request, target.queue),
+            _time_budget(request, target.queue),
             target.asks_for,
         )
         return _state(answer)
@@ -194,7 +194,7 @@
             )
         answer = await self._forwarder.cancel(
             target.job_id,
-            _patience(request, target.queue),
+            _time_budget(request, target.queue),
             target.asks_for,
         )
         return _state(answer)
@@ -252,9 +252,9 @@
     return _refuse(_NOT_READY, reason.value, _TURNED_FOR)
 
 
-def _patience(request: Request, queue: QueueSettings) -> Seconds:
+def _time_budget(request: Request, queue: QueueSettings) -> Seconds:
     named = request.get_first_header(_DEADLINE_HEADER)
-    patience = queue.timeout or _PATIENCE
+    patience = queue.timeout or _DEFAULT_TIMEOUT
     if named is not None and named.isdigit():
         patience = min(patience, int(named) / _MILLIS)
     return max(_ANSWER_TRAVELS, patience - _ANSWER_TRAVELS)
--- a/orchidrail/platform/configuration.py
+++ b/orchidrail/platform/configuration.py
@@ -9,7 +9,7 @@
 from result import Err, Ok, Result
 
 from orchidrail.access import KeyRing, digest_of
-from orchidrail.platform.fields import UNREADABLE, Count, Text
+from orchidrail.platform.fields import DECODE_ERRORS, Count, NonEmptyText
 from orchidrail.types import QueueName, ServiceName, TenantId
 from orchidrail.work.model import (
     AdviceCost,
@@ -24,7 +24,7 @@
 CONFIG_KEY = 'config'
 _MILLIS = 1000
 #: Characters of a value that are quoted.
-_SHOWN = 120
+_MAX_QUOTED = 120
 #: Where the library's message says that the error is, and the parts of that.
 _PATH = re.compile(r'at `\$([^`]*)`')
 _PART = re.compile(r'\.(\w+)|\[(\d+)\]')
@@ -68,8 +68,8 @@
 
 
 class _Tenant(msgspec.Struct, rename='camel'):
-    name: Text
-    api_keys: list[Text] = []
+    name: NonEmptyText
+    api_keys: list[NonEmptyText] = []
     weight: Annotated[float, msgspec.Meta(gt=0)] = 1
     maximum: _Maximum = msgspec.field(default_factory=_Maximum)
 
@@ -94,7 +94,7 @@
     """
     try:
         config = _decode_config(raw)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         return Err(_explain(raw, error))
     queues = tuple(_queue(route) for route in config.routes)
     limits = _limits(config.limits)
@@ -149,7 +149,7 @@
     found = msgspec.json.decode(raw)
     for name, number in _PART.findall(path[1]):
         found = found[name] if name else found[int(number)]
-    return f'{text}: {found!r:.{_SHOWN}}'
+    return f'{text}: {found!r:.{_MAX_QUOTED}}'
 
 
 def _limits(limits: _Limits) -> IngressLimits:
--- a/orchidrail/platform/documents.py
+++ b/orchidrail/platform/documents.py
@@ -9,11 +9,11 @@
 
 from orchidrail.instance.settings import Bounds, InstanceSettings
 from orchidrail.platform.fields import (
-    UNREADABLE,
-    Amount,
+    DECODE_ERRORS,
     Count,
     HostPort,
-    Text,
+    NonEmptyText,
+    PositiveCount,
 )
 from orchidrail.types import (
     Address,
@@ -26,8 +26,8 @@
     StepSpec,
 )
 from orchidrail.work.size import Size
-from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
-from orchidrail.workers.incarnations import SEPARATOR
+from orchidrail.workers.entry_errors import EntryErrorKind, InvalidEntry
+from orchidrail.workers.incarnations import BORN_SEPARATOR
 from orchidrail.workers.port import WorkerEntry, WorkerState
 
 _MILLIS = 1000
@@ -35,7 +35,7 @@
 METRICS_PORT = 9464
 _MAX_TEXT_BYTES = 4000
 #: Bytes of an entry that are quoted.
-_SHOWN = 120
+_MAX_QUOTED = 120
 #: Field of `Bounds` and divisor, by the name of a line.
 _BOUND_BY_KEY = {
     'maxHoldMs': ('longest_lease', _MILLIS),
@@ -48,15 +48,15 @@
 
 
 class _Capacity(msgspec.Struct, rename='camel'):
-    cpu: Amount
-    mem_mb: Amount
+    cpu: PositiveCount
+    mem_mb: PositiveCount
     gpu: Count = 0
 
 
 class _Worker(msgspec.Struct, rename='camel'):
-    service: Text
+    service: NonEmptyText
     address: HostPort
-    zone: Text
+    zone: NonEmptyText
     state: WorkerState
     capacity: _Capacity
     labels: list[str]
@@ -110,20 +110,22 @@
 def decode_worker(
     worker: str,
     raw: bytes,
-) -> Result[WorkerEntry, BadEntry]:
+) -> Result[WorkerEntry, InvalidEntry]:
     """Decode what a worker registers of itself, or what somebody else wrote.
 
     What is missing has no default where placing needs it.
     """
-    if not worker or SEPARATOR in worker:
-        reason = f'{worker!r}, expected a name without {SEPARATOR!r}'
-        return Err(BadEntry(EntryFlaw.NAME, reason))
+    if not worker or BORN_SEPARATOR in worker:
+        reason = f'{worker!r}, expected a name without {BORN_SEPARATOR!r}'
+        return Err(InvalidEntry(EntryErrorKind.NAME, reason))
     try:
         entry = _decode_worker(raw)
     except msgspec.ValidationError as error:
-        return Err(BadEntry(EntryFlaw.FIELD, _describe(raw, error)))
-    except UNREADABLE as error:
-        return Err(BadEntry(EntryFlaw.UNREADABLE, _describe(raw, error)))
+        return Err(InvalidEntry(EntryErrorKind.FIELD, _describe(raw, error)))
+    except DECODE_ERRORS as error:
+        return Err(
+            InvalidEntry(EntryErrorKind.UNREADABLE, _describe(raw, error))
+        )
     return Ok(
         WorkerEntry(
             name=WorkerName(worker),
@@ -147,7 +149,7 @@
     """Decode and check the body of a submission."""
     try:
         job = _decode_job(raw)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         return Err(str(error))
     if len(job.spec.encode()) > _MAX_TEXT_BYTES:
         return Err(f'expected at most {_MAX_TEXT_BYTES} bytes of text')
@@ -174,7 +176,7 @@
 
 def _describe(raw: bytes, error: Exception) -> str:
     """Quote what could not be decoded, and what was expected."""
-    return f'{raw[:_SHOWN]!r}: {error}'
+    return f'{raw[:_MAX_QUOTED]!r}: {error}'
 
 
 def decode_settings(text: str) -> InstanceSettings:
--- a/orchidrail/platform/fields.py
+++ b/orchidrail/platform/fields.py
@@ -10,10 +10,10 @@
 #: Beyond any room or count of a worker; a start fits for 280,000 years.
 _MOST = 1 << _MOST_BITS
 #: What decoding bytes of any origin may raise.
-UNREADABLE = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
-Text = Annotated[str, msgspec.Meta(min_length=1)]
+DECODE_ERRORS = (msgspec.MsgspecError, UnicodeDecodeError, RecursionError)
+NonEmptyText = Annotated[str, msgspec.Meta(min_length=1)]
 #: Host and port; what is not used is checked all the same, since an entry by
 #: somebody else names no worker.
 HostPort = Annotated[str, msgspec.Meta(pattern=r'^[^\s:/@]+:[1-9]\d{0,4}$')]
 Count = Annotated[int, msgspec.Meta(ge=0, le=_MOST)]
-Amount = Annotated[int, msgspec.Meta(gt=0, le=_MOST)]
+PositiveCount = Annotated[int, msgspec.Meta(gt=0, le=_MOST)]
--- a/orchidrail/platform/http_calls.py
+++ b/orchidrail/platform/http_calls.py
@@ -15,10 +15,10 @@
 from orchidrail.background_tasks import BackgroundTasks
 from orchidrail.clocks import elapsed
 from orchidrail.platform.verified_connections import (
-    Greeting,
-    GreetingConnector,
-    NotGreetedError,
-    wanted_for,
+    ConnectionProbe,
+    UnverifiedConnectionError,
+    VerifyingConnector,
+    connections_to,
 )
 from orchidrail.store.relay import RawAnswer, RawCall
 from orchidrail.types import Address, Seconds
@@ -93,7 +93,7 @@
         #: Told why connections to an address were dropped.
         self.on_drop: Callable[[DropReason], None] | None = None
         #: Called when several addresses went silent at once.
-        self.on_several_silent: Callable[[], None] | None = None
+        self.on_many_unresponsive: Callable[[], None] | None = None
 
     async def close(self) -> None:
         """Close all connections."""
@@ -106,7 +106,7 @@
         address: Address,
         call: RawCall,
         headers: dict[str, str] | None = None,
-        greeting: Greeting | None = None,
+        greeting: ConnectionProbe | None = None,
     ) -> RawAnswer:
         """Make one call; a connection that stays silent is given up.
 
@@ -118,7 +118,7 @@
         The answer, with status 0 if there is none; `reached` is then False
         only if the call can't have got through.
         """
-        if call.fresh and address in self._pool_by_address:
+        if call.new_connection and address in self._pool_by_address:
             pool = self._pool_by_address[address]
             self._drop(address, pool, DropReason.DOUBTED)
         pool = self._pool(address)
@@ -131,7 +131,7 @@
         if answer.body is _SILENT:
             self._note_silence(address, pool, call.timeout)
         if answer.status:
-            pool.heard_at = self._clock()
+            pool.last_response_at = self._clock()
         return answer
 
     def _pool(self, address: Address) -> _Pool:
@@ -146,7 +146,7 @@
         """Drop the pools of addresses that are gone."""
         before = self._clock() - _KEEP_ALIVE
         for address, pool in list(self._pool_by_address.items()):
-            if pool.heard_at < before and not pool.calls:
+            if pool.last_response_at < before and not pool.calls:
                 self._drop(address, pool, DropReason.UNUSED)
 
     def _note_silence(
@@ -158,11 +158,11 @@
         now = self._clock()
         if self._pool_by_address.get(address) is not pool:
             return
-        fresh = now - pool.heard_at - waited < _HEARD_WITHIN
+        fresh = now - pool.last_response_at - waited < _HEARD_WITHIN
         _log.info(
             'connections dropped',
             address=address,
-            silent_for=round(now - pool.heard_at, 3),
+            silent_for=round(now - pool.last_response_at, 3),
             calls_in_progress=pool.calls,
         )
         self._drop(address, pool, DropReason.SILENT)
@@ -186,7 +186,7 @@
         unheard = [
             (address, pool)
             for address, pool in self._pool_by_address.items()
-            if pool.heard_at < before
+            if pool.last_response_at < before
         ]
         for address, pool in unheard:
             self._drop(address, pool, DropReason.OTHERS_SILENT)
@@ -195,8 +195,8 @@
             silent=list(self._silences),
             dropped=len(unheard),
         )
-        if self.on_several_silent is not None:
-            self.on_several_silent()
+        if self.on_many_unresponsive is not None:
+            self.on_many_unresponsive()
 
     def _drop(
         self,
@@ -220,7 +220,7 @@
     """Connections to one address."""
 
     def __init__(self, now: Seconds) -> None:
-        self._connector = GreetingConnector(
+        self._connector = VerifyingConnector(
             limit=_PER_HOST,
             keepalive_timeout=_KEEP_ALIVE,
             ttl_dns_cache=None,
@@ -233,7 +233,7 @@
             skip_auto_headers=('User-Agent', 'Accept', 'Accept-Encoding'),
         )
         self.calls = 0
-        self.heard_at = now
+        self.last_response_at = now
         self.dropped = False
 
     async def call(
@@ -241,16 +241,16 @@
         address: Address,
         call: RawCall,
         headers: dict[str, str] | None,
-        greeting: Greeting | None,
+        greeting: ConnectionProbe | None,
     ) -> RawAnswer:
         """Make one call; its body is `_SILENT` if none came in time."""
         if greeting is None:
             return await self._send(address, call, headers)
         for _ in range(_GREETED_FOR_CALL):
             try:
-                with wanted_for(greeting.receiver):
+                with connections_to(greeting.receiver):
                     return await self._send(address, call, headers)
-            except NotGreetedError as error:
+            except UnverifiedConnectionError as error:
                 refusal = await self._greet(
                     address,
                     greeting,
@@ -264,7 +264,7 @@
     async def _greet(
         self,
         address: Address,
-        greeting: Greeting,
+        greeting: ConnectionProbe,
         headers: dict[str, str] | None,
         connection: Any,
     ) -> RawAnswer | None:
@@ -276,13 +276,13 @@
         not made.
         """
         protocol = connection.protocol
-        with wanted_for(greeting.receiver, connection):
+        with connections_to(greeting.receiver, connection):
             answer = await self._send(address, greeting.call, headers)
         if not answer.status:
             return answer._replace(reached=False)
-        refusal = greeting.refusal(answer)
+        refusal = greeting.check(answer)
         if refusal is None:
-            self._connector.note_greeted(protocol, greeting.receiver)
+            self._connector.mark_verified(protocol, greeting.receiver)
         return refusal
 
     async def _send(
--- a/orchidrail/platform/store_log.py
+++ b/orchidrail/platform/store_log.py
@@ -22,7 +22,7 @@
     Unavailable,
     Uncertain,
 )
-from orchidrail.store.relay import Caller, RawCall
+from orchidrail.store.relay import RawCall, SendCall
 from orchidrail.types import Offset, Seconds
 
 #: Streams that the platform and the operator write.
@@ -43,7 +43,7 @@
 _TIMEOUT: Seconds = 1.2
 _MILLIS = 1000
 #: Bytes of an unexpected answer that are shown.
-_SHOWN = 80
+_MAX_QUOTED = 80
 
 
 class _Appended(msgspec.Struct):
@@ -82,7 +82,7 @@
         Makes a call to the store.
     """
 
-    def __init__(self, call: Caller) -> None:
+    def __init__(self, call: SendCall) -> None:
         """Hold the way to the store."""
         self._call = call
 
@@ -107,7 +107,7 @@
             return Appended(Offset(appended.offset), Offset(appended.end))
         if answer.status == _END_MOVED:
             return EndMoved(Offset(_decode_appended(answer.body).end))
-        reason = f'{answer.status} {answer.body[:_SHOWN]!r}'
+        reason = f'{answer.status} {answer.body[:_MAX_QUOTED]!r}'
         if answer.status or not answer.reached:
             return NotAppended(reason)
         return Uncertain(reason)
@@ -135,7 +135,7 @@
             return _decode_page(answer.body)
         if answer.status == _GONE:
             return Trimmed(Offset(_decode_gone(answer.body).first))
-        return Unavailable(f'{answer.status} {answer.body[:_SHOWN]!r}')
+        return Unavailable(f'{answer.status} {answer.body[:_MAX_QUOTED]!r}')
 
     async def latest(
         self,
@@ -149,7 +149,7 @@
         target = f'/log-newest?{urlencode(query)}'
         answer = await self._call(RawCall('GET', target, b'', _TIMEOUT))
         if answer.status != _OK:
-            return Unavailable(f'{answer.status} {answer.body[:_SHOWN]!r}')
+            return Unavailable(f'{answer.status} {answer.body[:_MAX_QUOTED]!r}')
         listing = _decode_listing(answer.body)
         records = [
             KeyedRecord(item.tls_key, base64.b64decode(item.value))
--- a/orchidrail/platform/tests/test_codecs.py
+++ b/orchidrail/platform/tests/test_codecs.py
@@ -9,7 +9,7 @@
 
 from orchidrail.platform import configuration, documents
 from orchidrail.platform.store_log import PlatformLog
-from orchidrail.platform.verified_connections import Greeting
+from orchidrail.platform.verified_connections import ConnectionProbe
 from orchidrail.platform.worker_calls import PlatformWorkers
 from orchidrail.store import (
     Appended,
@@ -26,7 +26,7 @@
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import Epoch, Offset, RunNumber, TaskKey
 from orchidrail.work.size import Size
-from orchidrail.workers.entry_errors import EntryFlaw
+from orchidrail.workers.entry_errors import EntryErrorKind
 from orchidrail.workers.port import (
     HoldOrder,
     Listing,
@@ -142,7 +142,7 @@
         address: str,
         call: RawCall,
         headers: dict[str, str],
-        greeting: Greeting | None = None,
+        greeting: ConnectionProbe | None = None,
     ) -> RawAnswer:
         self.bodies.append(json.loads(call.body))
         self.headers = headers
@@ -171,8 +171,8 @@
             (RawAnswer(409, b'{"reason":"fence"}'), OrderResult.FENCED),
             (RawAnswer(409, b'{"reason":"ticket"}'), OrderResult.NO_TICKET),
             (RawAnswer(409, b'{"reason":"old"}'), OrderResult.OLD_RUN),
-            (RawAnswer(421), OrderResult.OTHER_LIFE),
-            (RawAnswer(429), OrderResult.UNWELL),
+            (RawAnswer(421), OrderResult.OTHER_INCARNATION),
+            (RawAnswer(429), OrderResult.UNHEALTHY),
             (RawAnswer(0), OrderResult.UNKNOWN),
             (RawAnswer(0, reached=False), OrderResult.NOT_SENT),
         )
@@ -267,23 +267,23 @@
     def test_a_start_that_is_no_whole_number_names_no_worker(self) -> None:
         for born in ('1712345678901', 1.5, True, [1], -5):
             flaw = self.flaw_of(_entry(born=born))
-            self.assertIs(EntryFlaw.FIELD, flaw)
+            self.assertIs(EntryErrorKind.FIELD, flaw)
 
     def test_a_name_that_looks_like_a_life_names_no_worker(self) -> None:
         for name in ('i-1@5', ''):
             flaw = self.flaw_of(_entry(), name)
-            self.assertIs(EntryFlaw.NAME, flaw)
+            self.assertIs(EntryErrorKind.NAME, flaw)
 
-    def flaw_of(self, raw: bytes, name: str = 'i-1') -> EntryFlaw:
+    def flaw_of(self, raw: bytes, name: str = 'i-1') -> EntryErrorKind:
         outcome = documents.decode_worker(name, raw)
         assert isinstance(outcome, Err)
-        return outcome.err_value.flaw
+        return outcome.err_value.kind
 
     def test_an_entry_that_lacks_a_field_names_no_worker(self) -> None:
         self.assert_ok(documents.decode_worker('i-1', _entry()))
         for field in _NEEDED:
             flaw = self.flaw_of(_entry(**{field: None}))
-            self.assertIs(EntryFlaw.FIELD, flaw)
+            self.assertIs(EntryErrorKind.FIELD, flaw)
 
     def test_an_entry_by_another_writer_names_no_worker(self) -> None:
         for field, given in (
@@ -299,7 +299,7 @@
             ('remainingMs', '9'),
         ):  # fmt: skip
             flaw = self.flaw_of(_entry(**{field: given}))
-            self.assertIs(EntryFlaw.FIELD, flaw, (field, given))
+            self.assertIs(EntryErrorKind.FIELD, flaw, (field, given))
         for raw in (
             b'',
             b'\xff\xfe',
@@ -307,8 +307,8 @@
             b'{"x":' + b'[' * 100_000,
             b'{"service":"\xff"}',
         ):
-            self.assertIs(EntryFlaw.UNREADABLE, self.flaw_of(raw))
-        self.assertIs(EntryFlaw.FIELD, self.flaw_of(b'[]'))
+            self.assertIs(EntryErrorKind.UNREADABLE, self.flaw_of(raw))
+        self.assertIs(EntryErrorKind.FIELD, self.flaw_of(b'[]'))
 
     def test_the_reason_quotes_what_was_met(self) -> None:
         outcome = documents.decode_worker('i-1', _entry(state='resting'))
--- a/orchidrail/platform/tests/test_lives.py
+++ b/orchidrail/platform/tests/test_lives.py
@@ -114,7 +114,7 @@
                 await asyncio.sleep(0.05)
                 second = await workers.start(entry, _START, _TIMEOUT)
                 self.assertEqual([], worker.orders_of(2000, '/run-start'))
-                self.assertEqual(OrderResult.OTHER_LIFE, second.result)
+                self.assertEqual(OrderResult.OTHER_INCARNATION, second.result)
             await caller.close()
 
         self.run_async(scene())
--- a/orchidrail/platform/verified_connections.py
+++ b/orchidrail/platform/verified_connections.py
@@ -19,7 +19,7 @@
 from orchidrail.store.relay import RawAnswer, RawCall
 
 
-class Greeting(NamedTuple):
+class ConnectionProbe(NamedTuple):
     """How to learn whether a connection leads to whom a call is for.
 
     Parameters
@@ -28,17 +28,17 @@
         Whom the call is for.
     call : RawCall
         Harms nobody, whoever answers it.
-    refusal : callable
+    check : callable
         From its answer to that of the call that can't be made, None if the
         connection is the right one.
     """
 
     receiver: str
     call: RawCall
-    refusal: Callable[[RawAnswer], RawAnswer | None]
+    check: Callable[[RawAnswer], RawAnswer | None]
 
 
-class NotGreetedError(Exception):
+class UnverifiedConnectionError(Exception):
     """The connection at hand is not known to lead to the receiver.
 
     Parameters
@@ -64,7 +64,7 @@
 
 
 @contextmanager
-def wanted_for(
+def connections_to(
     receiver: str,
     greeted: Any = None,
 ) -> Generator[None, None, None]:
@@ -82,7 +82,7 @@
         _use.reset(token)
 
 
-class GreetingConnector(aiohttp.TCPConnector):
+class VerifyingConnector(aiohttp.TCPConnector):
     """Hands out connections only to calls whose receiver they lead to.
 
     Calls that name no receiver get any connection.
@@ -95,7 +95,7 @@
             WeakKeyDictionary()
         )
 
-    def note_greeted(self, protocol: Any, receiver: str) -> None:
+    def mark_verified(self, protocol: Any, receiver: str) -> None:
         """Take that a connection leads to a receiver."""
         self._receiver_by_protocol[protocol] = receiver
 
@@ -109,7 +109,7 @@
 
         Raises
         ------
-        NotGreetedError
+        UnverifiedConnectionError
             If the connection at hand may lead to somebody else.
         """
         use = _use.get()
@@ -121,4 +121,4 @@
         receiver = self._receiver_by_protocol.get(connection.protocol)
         if receiver == use.receiver:
             return connection
-        raise NotGreetedError(connection)
+        raise UnverifiedConnectionError(connection)
--- a/orchidrail/platform/worker_calls.py
+++ b/orchidrail/platform/worker_calls.py
@@ -9,9 +9,9 @@
 import msgspec
 import structlog
 
-from orchidrail.platform.fields import UNREADABLE
+from orchidrail.platform.fields import DECODE_ERRORS
 from orchidrail.platform.http_calls import HttpCaller
-from orchidrail.platform.verified_connections import Greeting
+from orchidrail.platform.verified_connections import ConnectionProbe
 from orchidrail.store.relay import RawAnswer, RawCall
 from orchidrail.types import (
     Address,
@@ -26,19 +26,19 @@
     EndedRun,
     HoldOrder,
     Listing,
-    NamedTickets,
     OrderAnswer,
     OrderResult,
     RunEnding,
     RunKey,
     StartOrder,
+    TicketsByName,
     WorkerEntry,
 )
 
 _log = structlog.get_logger()
 _Body = TypeVar('_Body')
 #: Bytes of an answer that are quoted.
-_SHOWN = 120
+_MAX_QUOTED = 120
 _OK = 200
 _LIFE_HEADER = 'X-Orchidrail-Expect-Instance'
 _START = '/run-start'
@@ -50,9 +50,9 @@
 _MISDIRECTED = 421
 _RESULT_BY_STATUS = {
     _BAD_REQUEST: OrderResult.INVALID,
-    _MISDIRECTED: OrderResult.OTHER_LIFE,
-    429: OrderResult.UNWELL,
-    503: OrderResult.UNWELL,
+    _MISDIRECTED: OrderResult.OTHER_INCARNATION,
+    429: OrderResult.UNHEALTHY,
+    503: OrderResult.UNHEALTHY,
 }
 _RESULT_BY_REASON = {
     'fence': OrderResult.FENCED,
@@ -212,7 +212,7 @@
         step_key: str,
         names: list[WorkerName],
         timeout: Seconds,
-    ) -> NamedTickets | None:
+    ) -> TicketsByName | None:
         """See `AdviceCalls.advise`."""
         body = _encode({'phase': step_key, 'workers': names})
         call = RawCall('POST', '/advise', body, timeout)
@@ -223,20 +223,20 @@
         if advice is None:
             return None
         tickets = {WorkerName(row.name): row.ticket for row in advice.good}
-        return NamedTickets(tickets, advice.valid_ms / _MILLIS)
+        return TicketsByName(tickets, advice.valid_ms / _MILLIS)
 
 
 def _make_greeting(
     entry: WorkerEntry,
     body: dict[str, object] | dict[str, int],
     timeout: Seconds,
-) -> Greeting | None:
+) -> ConnectionProbe | None:
     """Return a look that acknowledges nothing and renews no lease."""
     if entry.born is None:
         return None
     look = {'fencingToken': body['fencingToken'], 'lastSeen': 0}
     call = RawCall('POST', _LOOK, _encode(look), timeout)
-    return Greeting(entry.worker, call, partial(_refusal, entry.born))
+    return ConnectionProbe(entry.worker, call, partial(_refusal, entry.born))
 
 
 def _refusal(born: int, answer: RawAnswer) -> RawAnswer | None:
@@ -255,10 +255,10 @@
     """Decode an answer of any origin; None, and a line, if that fails."""
     try:
         return decode(raw)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         _log.warning(
             'answer not understood',
-            body=repr(raw[:_SHOWN]),
+            body=repr(raw[:_MAX_QUOTED]),
             reason=str(error),
         )
         return None
@@ -278,7 +278,7 @@
         result = _RESULT_BY_REASON.get(body.reason, OrderResult.INVALID)
         return OrderAnswer(result, clock)
     result = _RESULT_BY_STATUS.get(answer.status, OrderResult.INVALID)
-    if result is not OrderResult.OTHER_LIFE or not answer.body:
+    if result is not OrderResult.OTHER_INCARNATION or not answer.body:
         return OrderAnswer(result)
     other = _read(_decode_order, answer.body)
     # Its clock is not that of the life that was asked.
--- a/orchidrail/properties/test_decoders.py
+++ b/orchidrail/properties/test_decoders.py
@@ -23,10 +23,10 @@
 from orchidrail.workers.port import (
     HoldOrder,
     Listing,
-    NamedTickets,
     OrderAnswer,
     RunKey,
     StartOrder,
+    TicketsByName,
 )
 from orchidrail.workers.tests.fakes import make_entry
 
@@ -131,7 +131,7 @@
             self.assertIsInstance(started, OrderAnswer)
             self.assertIsInstance(stopped, OrderAnswer)
             self.assertIsInstance(listed, (OrderAnswer, Listing))
-            self.assertIsInstance(advised, (NamedTickets, type(None)))
+            self.assertIsInstance(advised, (TicketsByName, type(None)))
 
         asyncio.run(scene())
 
--- a/orchidrail/properties/test_journal_writer.py
+++ b/orchidrail/properties/test_journal_writer.py
@@ -109,7 +109,7 @@
     ) -> None:
         """Withdrawn is never there, committed always, denied never."""
         scene = _Scene()
-        fast = {'_RETRY_PAUSE': _FAST, '_PACE': _FAST}
+        fast = {'_RETRY_PAUSE': _FAST, '_APPEND_INTERVAL': _FAST}
         with mock.patch.multiple(writer_module, **fast):
             asyncio.run(scene.play(actions))
         there = {one.key for one in scene.store.records_by_topic[_TOPIC]}
--- a/orchidrail/scheduler/job_claims.py
+++ b/orchidrail/scheduler/job_claims.py
@@ -15,10 +15,10 @@
 
 from orchidrail.jobs.attempts import (
     ClaimNote,
-    ended_mark,
+    ended_marker,
     job_claim,
-    recovered_mark,
-    refused_mark,
+    recovered_marker,
+    refused_marker,
 )
 from orchidrail.keys import claim_of
 from orchidrail.scheduler.held_worker import is_refused
@@ -43,7 +43,7 @@
 
 if TYPE_CHECKING:
     from orchidrail.jobs.book import JobEntry
-    from orchidrail.jobs.witnesses import Witness, Witnesses
+    from orchidrail.jobs.witnesses import Witness, WitnessPair
     from orchidrail.scheduler.boot_book import BootBook
     from orchidrail.scheduler.fleet_list import FleetList
     from orchidrail.scheduler.held_worker import HeldWorker
@@ -113,7 +113,7 @@
         at both of its witnesses, so that no owner asks again.
         """
         if entry.former:
-            mark = recovered_mark(entry.spec.key, entry.generation)
+            mark = recovered_marker(entry.spec.key, entry.generation)
             await self._put_all(entry, [_marker(entry, mark, 'recovered')])
             return True
         marker = _marker(entry, job_claim(entry.spec.key), 'accepted')
@@ -136,7 +136,7 @@
         """
         found = await self._read_witness(entry)
         _check_not_over(entry, found, entry.generation)
-        mark = recovered_mark(entry.spec.key, entry.generation)
+        mark = recovered_marker(entry.spec.key, entry.generation)
         kept = [report for report in found if is_claim(report)]
         if not entry.former or mark in [report.key for report in found]:
             return kept
@@ -162,7 +162,7 @@
         DisownedError
             If it is for another owner to find out.
         """
-        mark = refused_mark(entry.spec.key, entry.generation)
+        mark = refused_marker(entry.spec.key, entry.generation)
         await self._put_all(entry, [_marker(entry, mark, 'refused')])
 
     async def is_taken_up(self, entry: JobEntry) -> bool:
@@ -171,7 +171,7 @@
         That it was not refused was found out on the way, for good: both
         witnesses keep the mark of it.
         """
-        mark = recovered_mark(entry.spec.key, entry.generation)
+        mark = recovered_marker(entry.spec.key, entry.generation)
         for witness in (entry.witness, entry.backup):
             found = await self._fence(entry, witness) or ()
             if mark not in {report.key for report in found}:
@@ -184,14 +184,14 @@
         A later owner may read them before its fold tells of the end. The
         marks stay: workers drop them by themselves after the log's retention.
         """
-        mark = ended_mark(entry.spec.key)
+        mark = ended_marker(entry.spec.key)
         await self._put_all(entry, [_marker(entry, mark, 'ended')])
 
     async def forget(self, entry: JobEntry, notes: list[ClaimNote]) -> None:
         """Let both witnesses forget the claims of an ended job."""
         job = entry.spec.key
         claims = [claim_of(note.task) for note in notes]
-        claims.append(recovered_mark(job, entry.generation))
+        claims.append(recovered_marker(job, entry.generation))
         for witness in (entry.witness, entry.backup):
             where = ClaimNote(*witness, Address(''), TaskId(job))
             await self._calls.control(where, forget=claims)
@@ -280,7 +280,7 @@
             found = await self._read_pair(entry, past)
             _check_not_over(entry, found, past.generation)
             claims.update((report.key, report) for report in found)
-            mark = recovered_mark(entry.spec.key, past.generation)
+            mark = recovered_marker(entry.spec.key, past.generation)
             if mark in claims or not past.generation:
                 break
         return [report for report in claims.values() if is_claim(report)]
@@ -288,7 +288,7 @@
     async def _read_pair(
         self,
         entry: JobEntry,
-        past: Witnesses,
+        past: WitnessPair,
     ) -> list[TaskReport]:
         """Fence either of two witnesses; if both are gone, the zone."""
         pair = (past.backup, past.witness)
@@ -305,7 +305,7 @@
     async def _confirm_at(
         self,
         entry: JobEntry,
-        past: Witnesses,
+        past: WitnessPair,
         witness: Witness,
     ) -> None:
         """Take the job up, or learn that it was refused to its caller.
@@ -414,9 +414,9 @@
     """Fail if an owner of a generation has found the job to be over."""
     job = entry.spec.key
     known = {report.key for report in found}
-    if ended_mark(job) in known:
+    if ended_marker(job) in known:
         raise JobOverError(job)
-    if refused_mark(job, generation) in known:
+    if refused_marker(job, generation) in known:
         raise RefusedMarkerError(job)
 
 
--- a/orchidrail/scheduler/job_runner.py
+++ b/orchidrail/scheduler/job_runner.py
@@ -19,13 +19,13 @@
 from orchidrail.jitter import jitter
 from orchidrail.jobs.attempts import Attempt, ClaimNote
 from orchidrail.jobs.owned_job import (
-    RULES,
-    Ending,
-    Next,
+    ACTION_BY_OUTCOME,
+    AttemptOutcome,
+    OutcomeAction,
     OwnedJob,
     TaskGroup,
-    ending_of,
-    worst,
+    outcome_of,
+    worst_outcome,
 )
 from orchidrail.jobs.records import JobEnded, encode_record
 from orchidrail.scheduler.held_worker import StartFailure, is_refused
@@ -67,7 +67,7 @@
 #: be started for ever, as their ends are told by nobody. Where 30% of them end
 #: each 3 s, one in 200 tasks of 3 s loses five in a row.
 _MOST_LOSSES = 5
-_COUNTED = frozenset((Next.FAIL, Next.RETRY_COUNTED))
+_COUNTED = frozenset((OutcomeAction.FAIL, OutcomeAction.RETRY_COUNTED))
 _log = structlog.get_logger()
 
 
@@ -392,31 +392,33 @@
         group.running = False
         # Claims that a former owner made only in part were never started.
         missing = len(reports) < group.size
-        endings = [ending_of(report) for report in reports]
-        ending = worst([*endings, Ending.STOPPED] if missing else endings)
+        endings = [outcome_of(report) for report in reports]
+        ending = worst_outcome(
+            [*endings, AttemptOutcome.STOPPED] if missing else endings
+        )
         self._apply(owned, group, ending, reports)
 
     def _apply(
         self,
         owned: OwnedJob,
         group: TaskGroup,
-        ending: Ending,
+        ending: AttemptOutcome,
         reports: list[TaskReport | None],
     ) -> None:
         work_class = self._placer.work_class(owned.entry.spec.class_name)
         repeatable = work_class is not None and work_class.repeatable
         allowed = 1 if work_class is None else work_class.max_attempts
-        follows = RULES[ending, repeatable]
-        if follows is Next.FAIL_MAY_HAVE_RUN:
+        follows = ACTION_BY_OUTCOME[ending, repeatable]
+        if follows is OutcomeAction.FAIL_MAY_HAVE_RUN:
             raise JobFailedError('may have run: its worker is gone')
         group.count_loss(ending)
         if group.losses >= _MOST_LOSSES:
             raise JobFailedError(f'{group.losses} workers ended under a task')
         if follows in _COUNTED:
             group.count_failure(reports)
-        if follows is Next.FAIL or group.failures >= allowed:
+        if follows is OutcomeAction.FAIL or group.failures >= allowed:
             raise JobFailedError(f'a task failed {group.failures} time(s)')
-        group.take_reports(reports, done=follows is Next.KEEP)
+        group.take_reports(reports, done=follows is OutcomeAction.KEEP)
 
     async def _wait_for_end(
         self,
--- a/orchidrail/scheduler/tests/test_job_runner.py
+++ b/orchidrail/scheduler/tests/test_job_runner.py
@@ -8,7 +8,7 @@
 
 from orchidrail.bundles.model import Bundle
 from orchidrail.jobs.book import JobBook
-from orchidrail.jobs.owned_job import Ending
+from orchidrail.jobs.owned_job import AttemptOutcome
 from orchidrail.jobs.records import JobAccepted, JobMoved, encode_record
 from orchidrail.logservice.ports import LogRecord
 from orchidrail.resources import Resources
@@ -119,7 +119,7 @@
             daemon.engine.use_bundle(_repeatable(), ZONE)
 
             def lose() -> None:
-                daemon.runner._apply(owned, group, Ending.LOST, [None])
+                daemon.runner._apply(owned, group, AttemptOutcome.LOST, [None])
 
             for _ in range(4):
                 lose()
--- a/orchidrail/shard/crash_evidence.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -140,7 +140,7 @@
             self._ends.popleft()
         workers = list(every)
         silent = sum(
-            tracked.session.fallen_silent and not tracked.runs_suspect
+            tracked.session.stopped_responding and not tracked.runs_suspect
             for tracked in workers
         )
         return len(self._ends) + silent < _CALM_SHARE * len(workers)
--- a/orchidrail/shard/fleet.py
+++ b/orchidrail/shard/fleet.py
@@ -25,7 +25,7 @@
     WorkerName,
 )
 from orchidrail.work.records import worker_values
-from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
+from orchidrail.workers.entry_errors import EntryErrorKind, InvalidEntry
 from orchidrail.workers.port import WorkerCalls, WorkerEntry, WorkerState
 from orchidrail.workers.run_lease import RunLease
 from orchidrail.workers.session import WorkerSession
@@ -52,7 +52,7 @@
 _LOOK_AGAIN_AFTER: Seconds = 0.5
 _decode_kept = msgspec.msgpack.Decoder(WorkerEntry).decode
 
-DecodeEntry = Callable[[str, bytes], Result[WorkerEntry, BadEntry]]
+DecodeEntry = Callable[[str, bytes], Result[WorkerEntry, InvalidEntry]]
 
 
 class Fleet:
@@ -100,7 +100,7 @@
         #: Entries that are passed over. A worker whose entry is among them gets
         #: no new work; what runs there keeps its lease, since somebody else may
         #: have written the entry. To take it for gone would end sound work.
-        self._flaw_by_name: dict[WorkerName, EntryFlaw] = {}
+        self._flaw_by_name: dict[WorkerName, EntryErrorKind] = {}
         self._longest_lease = longest_lease
         self._prior_leases_end = prior_leases_end
         self._may_renew = may_renew
@@ -144,11 +144,11 @@
             self._state.incarnation_ended.clear()
             self._sweep()
 
-    def look_soon(self) -> None:
+    def poll_soon(self) -> None:
         """Look at all workers at once: connections to some went silent."""
         for tracked in self._state.tracked_by_worker.values():
             if tracked.session.reachable:
-                tracked.session.look_soon()
+                tracked.session.poll_soon()
 
     def _meet_earlier_workers(self) -> None:
         """Look for the workers that the owner before dealt with.
@@ -231,18 +231,20 @@
         tracked = self._books_of(name)
         if tracked is None and not self._serves(entry.service):
             reason = f'{entry.service!r}, expected the service of a queue'
-            self._pass_over(name, BadEntry(EntryFlaw.SERVICE, reason))
+            self._pass_over(name, InvalidEntry(EntryErrorKind.SERVICE, reason))
             return
         if self._flaw_by_name.pop(name, None) is not None:
             _log.info('worker entry understood', worker=name)
-        if tracked is not None and not tracked.session.is_life_of(entry.born):
+        if tracked is not None and not tracked.session.matches_incarnation(
+            entry.born
+        ):
             # A worker starts again only after its life before is over.
             _log.info(
                 'entry of another life',
                 worker=tracked.worker,
                 entry=entry.worker,
             )
-            tracked.session.end_life(entry.born)
+            tracked.session.end_incarnation(entry.born)
             self._forget(tracked)
             tracked = None
         if tracked is None:
@@ -251,16 +253,16 @@
         else:
             self._renew_entry(tracked, entry)
 
-    def _pass_over(self, name: WorkerName, bad: BadEntry) -> None:
+    def _pass_over(self, name: WorkerName, bad: InvalidEntry) -> None:
         """Use an entry for nothing; tell it once, however often it changes."""
-        if self._flaw_by_name.get(name) is bad.flaw:
+        if self._flaw_by_name.get(name) is bad.kind:
             return
-        self._flaw_by_name[name] = bad.flaw
-        self._state.metrics.rejected_entries.labels(bad.flaw.value).inc()
+        self._flaw_by_name[name] = bad.kind
+        self._state.metrics.rejected_entries.labels(bad.kind.value).inc()
         _log.warning(
             'worker entry passed over',
             worker=name,
-            flaw=bad.flaw.value,
+            flaw=bad.kind.value,
             reason=bad.reason,
         )
 
@@ -383,11 +385,11 @@
             session = tracked.session
             if self._has_left(tracked):
                 _log.info('worker has left', worker=worker)
-                session.end_life()
-            lapsed = not session.reachable and session.lease.ended(now)
-            if lapsed and not session.over:
+                session.end_incarnation()
+            lapsed = not session.reachable and session.lease.expired(now)
+            if lapsed and not session.terminated:
                 self._runs.give_up_worker(worker, IncarnationEnd.LEASE_EXPIRED)
-            if session.over or (lapsed and self._gone(tracked, now)):
+            if session.terminated or (lapsed and self._gone(tracked, now)):
                 self._forget(tracked)
                 self._meet_next_life(session)
         if now > self._prior_leases_end:
@@ -398,7 +400,9 @@
 
         It gets no work before its own entry was read: it may have other room.
         """
-        if session.next_life is None or self._books_of(session.entry.name):
+        if session.next_incarnation is None or self._books_of(
+            session.entry.name
+        ):
             return
         entry = msgspec.structs.replace(session.entry, born=session.next_born)
         self._unread.add(entry.worker)
@@ -420,7 +424,7 @@
         since = tracked.missing_since
         if since is None or tracked.entry.state is not WorkerState.DRAINING:
             return False
-        if tracked.session.reachable or tracked.session.over:
+        if tracked.session.reachable or tracked.session.terminated:
             return False
         written = self._written_at_by_name.get(
             tracked.entry.name,
@@ -438,7 +442,7 @@
     def _forget(self, tracked: TrackedWorker) -> None:
         name = tracked.entry.name
         self._fence_by_name[name] = tracked.session.epoch
-        if tracked.session.over:
+        if tracked.session.terminated:
             self._over_by_name[name] = tracked.session.entry.worker
         tracked.session.close()
         self._written_at_by_name.pop(name, None)
--- a/orchidrail/shard/inherited_runs.py
+++ b/orchidrail/shard/inherited_runs.py
@@ -11,7 +11,7 @@
 from orchidrail.types import RunNumber, WorkerId
 from orchidrail.work.records import TaskPhase
 from orchidrail.work.step import Task
-from orchidrail.workers.incarnations import split_life
+from orchidrail.workers.incarnations import split_incarnation_id
 from orchidrail.workers.port import ActiveRun, RunKey
 
 
@@ -72,7 +72,7 @@
         name = tracked.entry.name
         unresolved = self._state.unresolved_runs
         for worker in list(unresolved):
-            if split_life(worker)[0] != name:
+            if split_incarnation_id(worker)[0] != name:
                 continue
             gone = [
                 (task, number)
--- a/orchidrail/shard/lease_timing.py
+++ b/orchidrail/shard/lease_timing.py
@@ -12,7 +12,7 @@
 from __future__ import annotations
 
 from orchidrail.types import Seconds
-from orchidrail.workers.run_lease import SLOWEST_CLOCK
+from orchidrail.workers.run_lease import MAX_CLOCK_SLOWDOWN
 
 #: Leases are no longer than this, though the platform may allow more: a task
 #: that lasts is to run again within 10 s of its worker's loss, and the end of a
@@ -58,5 +58,5 @@
     >>> round(prior_leases_end(taken_over_at=100, longest_lease=6), 1)
     111.1
     """
-    lasts = longest_lease / (1 - SLOWEST_CLOCK)
+    lasts = longest_lease / (1 - MAX_CLOCK_SLOWDOWN)
     return taken_over_at + renewal_grace(longest_lease) + lasts
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -51,7 +51,7 @@
     read_jobs,
 )
 from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
-from orchidrail.workers.incarnations import life_of
+from orchidrail.workers.incarnations import incarnation_id
 from orchidrail.workers.port import RunKey, WorkerCalls
 
 _log = structlog.get_logger()
@@ -210,7 +210,7 @@
                 job=job_id,
                 queue=queue.name,
                 waiting=self.writer.waiting_bytes,
-                trouble=self.writer.trouble,
+                trouble=self.writer.last_error,
             )
             return False
         beyond = not self.state.shares.take(self.state.ledger.current(tenant))
@@ -228,7 +228,7 @@
         # a record of its own, which is never written before the job's.
         self.state.mark_changed(job)
         # The caller may leave before the answer: this must happen all the same.
-        commit.then(lambda committed: self._accept(job, committed))
+        commit.on_decided(lambda committed: self._accept(job, committed))
         waiting = asyncio.ensure_future(commit.wait())
         held_for = max(0, patience - _REPLY_MARGIN)
         done, _ = await asyncio.wait((waiting,), timeout=held_for)
@@ -258,7 +258,7 @@
             job=job.job_id,
             queue=job.queue.name,
             unconfirmed=round(self.writer.unconfirmed_for(), 3),
-            trouble=self.writer.trouble,
+            trouble=self.writer.last_error,
         )
         return True
 
@@ -336,7 +336,7 @@
 
     def check_connections_soon(self) -> None:
         """Take that connections to several workers went silent at once."""
-        self._fleet.look_soon()
+        self._fleet.poll_soon()
 
     async def _wait_known(self, job_id: JobId) -> bool | None:
         if job_key(job_id) in self.writer.view.value_by_key:
@@ -386,7 +386,7 @@
         """Count what may be left of an ended job until its workers are met."""
         for run in ended.lingering_runs:
             self.state.unresolved_runs.add_lingering(
-                life_of(run.worker, run.born),
+                incarnation_id(run.worker, run.born),
                 RunKey(run.task, run.run),
                 QuotaUsage(ended.tenant.name, run.size),
             )
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -35,7 +35,7 @@
     OrderResult,
     RunKey,
 )
-from orchidrail.workers.session import START_LIFE, WorkerSession
+from orchidrail.workers.session import START_VALIDITY, WorkerSession
 
 _log = structlog.get_logger()
 _STOP_AGAIN: Seconds = 0.3
@@ -48,8 +48,8 @@
         OrderResult.LATE,
         OrderResult.NO_ROOM,
         OrderResult.NO_TICKET,
-        OrderResult.OTHER_LIFE,
-        OrderResult.UNWELL,
+        OrderResult.OTHER_INCARNATION,
+        OrderResult.UNHEALTHY,
         OrderResult.INVALID,
         OrderResult.NOT_SENT,
     )
@@ -57,7 +57,7 @@
 #: Results after which the worker gets no new work for a while.
 _REST_AFTER = frozenset(
     (
-        OrderResult.UNWELL,
+        OrderResult.UNHEALTHY,
         OrderResult.NO_ROOM,
         OrderResult.NOT_SENT,
     )
@@ -210,8 +210,8 @@
         """Tell what a run was taken for gone by, without an end heard."""
         self._state.metrics.runs_not_listed.inc()
         if run.in_doubt:
-            tracked.session.void_orders()
-        acknowledged, heard = tracked.session.ends_heard
+            tracked.session.invalidate_orders()
+        acknowledged, heard = tracked.session.ending_progress
         _log.info(
             'run not listed',
             task=run.key.task,
@@ -225,12 +225,12 @@
             heard=heard,
         )
 
-    def on_life_over(self, session: WorkerSession) -> None:
-        """See `Observer.on_life_over`."""
+    def on_incarnation_ended(self, session: WorkerSession) -> None:
+        """See `Observer.on_incarnation_ended`."""
         tracked = self._state.tracked_by_worker.get(session.worker)
         left = tracked is not None and tracked.left_voluntarily()
         end = IncarnationEnd.LEFT if left else IncarnationEnd.CRASHED
-        self.give_up_worker(session.worker, end, session.next_life)
+        self.give_up_worker(session.worker, end, session.next_incarnation)
         self._state.incarnation_ended.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
@@ -300,7 +300,7 @@
         """Look as soon as a listing can end a trial, to free its worker."""
         asyncio.get_running_loop().call_later(
             STARTUP_CRASH_WINDOW,
-            tracked.session.look_soon,
+            tracked.session.poll_soon,
         )
 
     def _doubt_start(self, run: PlacedRun, tracked: TrackedWorker) -> None:
@@ -308,7 +308,7 @@
         if run.start_deadline == math.inf:
             now = self._state.clock()
             run.start_deadline = (
-                tracked.session.lease.clock_at(now) + START_LIFE
+                tracked.session.lease.clock_at(now) + START_VALIDITY
             )
 
     async def _start(
@@ -335,7 +335,7 @@
         )
         # A start that was refused has nothing to do with its worker's end.
         run.ordered = answer.result not in _NOT_STARTED
-        tracked.session.take_answer(answer)
+        tracked.session.handle_answer(answer)
         now = self._state.clock()
         self._state.metrics.worker_starts.labels(answer.result.value).inc()
         if answer.result in _REST_AFTER:
@@ -375,7 +375,7 @@
 
         A run that goes on takes room, and may keep its whole worker closed.
         """
-        while tracked.has(run) and not tracked.session.over:
+        while tracked.has(run) and not tracked.session.terminated:
             answer = await tracked.session.stop(run.key)
             if answer.result is OrderResult.TAKEN:
                 # The worker will not start the run any more; what runs takes
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -37,7 +37,7 @@
     worker_key,
 )
 from orchidrail.work.step import Task
-from orchidrail.workers.incarnations import split_life
+from orchidrail.workers.incarnations import split_incarnation_id
 from orchidrail.workers.port import WorkerEntry
 
 _KEY_PARTS = 4
@@ -55,7 +55,7 @@
             task.key,
             task.run,
             task.step.spec.size,
-            *split_life(task.worker),
+            *split_incarnation_id(task.worker),
         )
         for task in job.placed_tasks()
     )
--- a/orchidrail/shard/tests/fleet_case.py
+++ b/orchidrail/shard/tests/fleet_case.py
@@ -26,7 +26,7 @@
 from orchidrail.work.records import encode
 from orchidrail.work.step import Task
 from orchidrail.work.tests.test_job import make_job
-from orchidrail.workers.entry_errors import BadEntry, EntryFlaw
+from orchidrail.workers.entry_errors import EntryErrorKind, InvalidEntry
 from orchidrail.workers.port import (
     WorkerEntry,
 )
@@ -40,9 +40,9 @@
 _decode_entry = msgspec.msgpack.Decoder(WorkerEntry).decode
 
 
-def decode(key: str, raw: bytes) -> Result[WorkerEntry, BadEntry]:
+def decode(key: str, raw: bytes) -> Result[WorkerEntry, InvalidEntry]:
     if raw == BAD_ENTRY:
-        return Err(BadEntry(EntryFlaw.UNREADABLE, repr(raw)))
+        return Err(InvalidEntry(EntryErrorKind.UNREADABLE, repr(raw)))
     return Ok(_decode_entry(raw))
 
 
--- a/orchidrail/shard/tests/test_blocked_gangs.py
+++ b/orchidrail/shard/tests/test_blocked_gangs.py
@@ -45,7 +45,7 @@
             session.reachable = False
             now = shard.state.clock()
             shard.state.started_at = now - 2 * _SILENT
-            session.heard_at = now - _SILENT
+            session.last_response_at = now - _SILENT
             lines = self.told(BlockedGangs(shard.state), step)
             told = lines.pop()
             self.assertEqual([], lines)
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -272,9 +272,9 @@
 
     def test_a_start_that_another_life_refused_is_not(self) -> None:
         async def scenario(shard: Shard) -> None:
-            shard.worker.start_result = OrderResult.OTHER_LIFE
+            shard.worker.start_result = OrderResult.OTHER_INCARNATION
             step = await _started(shard)
-            self.assertTrue(shard.tracked.session.over)
+            self.assertTrue(shard.tracked.session.terminated)
             self.assertEqual(0, step.tasks[0].crashes)
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -77,7 +77,7 @@
     ) -> Listing | OrderAnswer:
         """See `WorkerCalls.hold`."""
         if entry.worker in self.crashed:
-            return OrderAnswer(OrderResult.OTHER_LIFE)
+            return OrderAnswer(OrderResult.OTHER_INCARNATION)
         return await super().hold(entry, order, timeout)
 
 
@@ -158,7 +158,7 @@
             tracked = await self._drain(owner)
             await self.write_entry(listed=False)
             await asyncio.sleep(READ_WAIT)
-            self.assertTrue(tracked.session.over)
+            self.assertTrue(tracked.session.terminated)
             self.assertNotIn(tracked.worker, owner.state.tracked_by_worker)
 
         self.run_scenario(scenario)
@@ -173,7 +173,7 @@
             written_at[tracked.worker] -= 3
             await self.write_entry(listed=False)
             await asyncio.sleep(READ_WAIT)
-            self.assertFalse(tracked.session.over)
+            self.assertFalse(tracked.session.terminated)
 
         self.run_scenario(scenario)
 
@@ -185,7 +185,7 @@
             owner._fleet._read_at -= 1.5
             await self.write_entry(listed=False)
             await asyncio.sleep(READ_WAIT)
-            self.assertFalse(tracked.session.over)
+            self.assertFalse(tracked.session.terminated)
 
         self.run_scenario(scenario)
 
@@ -200,7 +200,7 @@
                     raise ValueError('not understood')
                 await asyncio.sleep(0.05)
 
-            tracked.session._look_once = fail_once  # type: ignore[method-assign]
+            tracked.session._poll_once = fail_once  # type: ignore[method-assign]
             await asyncio.sleep(1)
             self.assertGreater(len(looks), 2)
 
@@ -219,7 +219,7 @@
                 looks.append(wait)
                 await asyncio.sleep(2 * READ_WAIT)
 
-            tracked.session._look_once = hang  # type: ignore[method-assign]
+            tracked.session._poll_once = hang  # type: ignore[method-assign]
             await asyncio.sleep(READ_WAIT / 2)
             self.assertEqual(1, len(looks))
             owner.check_connections_soon()
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -96,7 +96,7 @@
             step.job.place(step.tasks[0], RunNumber(1), shard.tracked.worker)
             told = _wait(shard, step)
             self.assertAlmostEqual(_WAITED, told['unheard'], delta=0.5)
-            shard.tracked.session.heard_at = shard.state.clock()
+            shard.tracked.session.last_response_at = shard.state.clock()
             self.assertNotIn('unheard', _wait(shard, step))
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -109,7 +109,7 @@
         )
         tracked = TrackedWorker(session)
         self.state.tracked_by_worker[session.worker] = tracked
-        await session._look()
+        await session._poll()
 
     def add(self, job: Job) -> None:
         self.state.job_by_id[job.job_id] = job
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -92,11 +92,11 @@
         self.runs.launch(step, chosen)
 
     async def poll(self) -> None:
-        await self.tracked.session._look()
+        await self.tracked.session._poll()
 
     async def crash(self) -> None:
         """End the worker's life; another answers at its address."""
-        self.worker.hold_result = OrderResult.OTHER_LIFE
+        self.worker.hold_result = OrderResult.OTHER_INCARNATION
         await self.poll()
 
 
@@ -325,7 +325,7 @@
             run = next(iter(shard.tracked.run_by_key.values()))
 
             async def refuse(*_: object) -> OrderAnswer:
-                return OrderAnswer(OrderResult.UNWELL)
+                return OrderAnswer(OrderResult.UNHEALTHY)
 
             shard.worker.stop = refuse  # type: ignore[method-assign]
             shard.runs.stop(shard.tracked, run)
--- a/orchidrail/shard/tests/test_waits_of_the_placer.py
+++ b/orchidrail/shard/tests/test_waits_of_the_placer.py
@@ -98,7 +98,7 @@
         )
         tracked = TrackedWorker(session, self.state.ledger)
         self.state.tracked_by_worker[session.worker] = tracked
-        await session._look()
+        await session._poll()
         return tracked
 
     async def add(
@@ -171,7 +171,7 @@
 
         async def scenario(shard: _Scene) -> None:
             refuses = FakeWorker()
-            refuses.start_result = OrderResult.UNWELL
+            refuses.start_result = OrderResult.UNHEALTHY
             tracked = await shard.add_worker('w-1', refuses)
             tracked.quarantine(shard.clock(), 100)
             job = await shard.add('a', StepSpec(1, Size(1000, 1)))
--- a/orchidrail/shard/tracked_worker.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -232,7 +232,7 @@
     def available(self) -> bool:
         """Whether it could take new work, were it not for a rest."""
         session = self.session
-        answers = session.reachable and not session.over
+        answers = session.reachable and not session.terminated
         if not answers or not self.listed:
             return False
         if self._unsized or self.stalled or self.isolated_runs:
@@ -342,7 +342,7 @@
 
         It is 0 if it was not: the worker may have ended with the start.
         """
-        return max(0, self.session.heard_at - run.confirmed_at)
+        return max(0, self.session.last_response_at - run.confirmed_at)
 
     def proven(self, run: PlacedRun) -> bool:
         """Whether the worker has outlived the start of a run.
--- a/orchidrail/shard/worker_contact.py
+++ b/orchidrail/shard/worker_contact.py
@@ -28,5 +28,7 @@
 def _heard_at(state: ShardState, worker: WorkerId) -> Seconds:
     """Return when a worker was heard last, by this owner or since it began."""
     tracked = state.tracked_by_worker.get(worker)
-    heard_at = -math.inf if tracked is None else tracked.session.heard_at
+    heard_at = (
+        -math.inf if tracked is None else tracked.session.last_response_at
+    )
     return max(heard_at, state.started_at)
--- a/orchidrail/store/relay.py
+++ b/orchidrail/store/relay.py
@@ -26,13 +26,13 @@
 #: as this machine is, and not know it yet.
 _RELAYS_TRIED = 2
 #: Tries of one write, each beside the last, while no peer can help.
-_TRIES_IN_SILENCE = 4
+_TRIES_WHILE_UNRESPONSIVE = 4
 #: Least and longest silence after which a write is tried the next way too. The
 #: store answers in 8 ms; where it is slow, more of its usual time is allowed.
-_BESIDE_AFTER: Seconds = 0.12
-_BESIDE_LATEST: Seconds = 0.4
+_HEDGE_AFTER_MIN: Seconds = 0.12
+_HEDGE_AFTER_MAX: Seconds = 0.4
 #: Factor on the usual time of an answer, and weight of the latest one in it.
-_BESIDE_FACTOR = 1.5
+_HEDGE_FACTOR = 1.5
 _LATEST_WEIGHT = 0.5
 #: A direct answer tells for this long that the store is reached; each process
 #: calls at least once in a second.
@@ -53,9 +53,9 @@
     body : bytes
     timeout : float
         Seconds of silence after which the call is given up.
-    waits : float
+    max_hold : float
         Seconds of `timeout` for which the receiver may hold the answer.
-    fresh : bool
+    new_connection : bool
         Use no connection that was open before: it may have gone silent.
     """
 
@@ -63,8 +63,8 @@
     target: str
     body: bytes = b''
     timeout: Seconds = 1
-    waits: Seconds = 0
-    fresh: bool = False
+    max_hold: Seconds = 0
+    new_connection: bool = False
 
 
 class RawAnswer(NamedTuple):
@@ -84,10 +84,10 @@
 
 
 #: Bytes of an unexpected answer that are shown.
-_SHOWN = 80
+_MAX_QUOTED = 80
 _NOT_SERVED = frozenset((0, _TOO_MANY, _UNAVAILABLE))
 #: Something that makes a call: directly, or through a named peer.
-Caller = Callable[[RawCall], Coroutine[Any, Any, RawAnswer]]
+SendCall = Callable[[RawCall], Coroutine[Any, Any, RawAnswer]]
 
 
 class RelayedCaller:
@@ -111,8 +111,8 @@
 
     def __init__(
         self,
-        direct: Caller,
-        relay: Caller,
+        direct: SendCall,
+        relay: SendCall,
         clock: Callable[[], Seconds],
         note: Callable[[str, int], None],
     ) -> None:
@@ -125,27 +125,27 @@
         self._avoid_relay_until: Seconds = 0
         self._relays_failed = 0
         #: Usual time of a direct answer.
-        self._usual: Seconds = 0
+        self._mean_latency: Seconds = 0
         self._answered_at: Seconds = -math.inf
         #: Whether the latest direct call got no answer at all.
-        self._silent = False
+        self._unresponsive = False
         self._probe_at: Seconds = 0
         self._attempts = BackgroundTasks('store call')
         self.lost = False
 
-    def direct_answers(self) -> bool:
+    def direct_route_works(self) -> bool:
         """Whether the store answers this machine itself."""
-        if self._silent or self._clock() < self._avoid_direct_until:
+        if self._unresponsive or self._clock() < self._avoid_direct_until:
             return False
         return self._clock() - self._answered_at < _ANSWERS_FOR
 
     async def __call__(self, call: RawCall) -> RawAnswer:
         """Make a call by the way that works."""
-        if self._silent and call.method == 'GET':
+        if self._unresponsive and call.method == 'GET':
             self._probe(call)
         answers: list[RawAnswer] = []
         pending: set[asyncio.Task[RawAnswer]] = set()
-        for way in self._ways(call):
+        for way in self._routes(call):
             if way == self._call_freshly and not pending:
                 # The direct way has answered: its connection is not silent.
                 continue
@@ -153,7 +153,7 @@
             pending.add(self._attempts.spawn(way(call)))
             done, pending = await asyncio.wait(
                 pending,
-                timeout=None if call.method == 'GET' else self._beside_after(),
+                timeout=None if call.method == 'GET' else self._hedge_delay(),
                 return_when=asyncio.FIRST_COMPLETED,
             )
             answers.extend(task.result() for task in done)
@@ -167,7 +167,7 @@
             answers.extend(task.result() for task in done)
         return self._conclude(answers)
 
-    def _ways(self, call: RawCall) -> list[Caller]:
+    def _routes(self, call: RawCall) -> list[SendCall]:
         """Return the ways to try, the most promising first; never none.
 
         A store that is silent for all is written to again and again, so that
@@ -175,22 +175,22 @@
         """
         now = self._clock()
         if now < self._avoid_relay_until:
-            tries = 1 if call.method == 'GET' else _TRIES_IN_SILENCE
+            tries = 1 if call.method == 'GET' else _TRIES_WHILE_UNRESPONSIVE
             return list(itertools.repeat(self._call_directly, tries))
-        if self._silent or now < self._avoid_direct_until:
+        if self._unresponsive or now < self._avoid_direct_until:
             return [self._call_relay, self._call_directly]
         if call.method == 'GET':
             return [self._call_directly, self._call_relay]
         return [self._call_directly, self._call_relay, self._call_freshly]
 
-    def _beside_after(self) -> Seconds:
+    def _hedge_delay(self) -> Seconds:
         """Return the silence after which a write goes another way too."""
-        allowed = _BESIDE_FACTOR * self._usual
-        return min(_BESIDE_LATEST, max(_BESIDE_AFTER, allowed))
+        allowed = _HEDGE_FACTOR * self._mean_latency
+        return min(_HEDGE_AFTER_MAX, max(_HEDGE_AFTER_MIN, allowed))
 
     async def _call_freshly(self, call: RawCall) -> RawAnswer:
         """Call directly on a new connection, beside one that is silent."""
-        return await self._call_directly(call._replace(fresh=True))
+        return await self._call_directly(call._replace(new_connection=True))
 
     def _probe(self, call: RawCall) -> None:
         """Try the silent direct way beside a call that goes by a peer."""
@@ -199,16 +199,18 @@
             self._attempts.spawn(self._call_directly(call))
 
     async def _call_directly(self, call: RawCall) -> RawAnswer:
-        patience = min(call.timeout, DIRECT_TIMEOUT + call.waits)
+        patience = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
         began = self._clock()
         answer = await self._direct(call._replace(timeout=patience))
         self._note('direct', answer.status)
-        self._silent = not answer.status
+        self._unresponsive = not answer.status
         if answer.usable:
             self._answered_at = self._clock()
-            if not call.waits:
+            if not call.max_hold:
                 took = self._answered_at - began
-                self._usual += _LATEST_WEIGHT * (took - self._usual)
+                self._mean_latency += _LATEST_WEIGHT * (
+                    took - self._mean_latency
+                )
         elif answer.status:
             self._avoid_direct_until = self._clock() + _AVOID_DIRECT
         return answer
@@ -232,7 +234,7 @@
                 'store lost',
                 answers=[answer.status for answer in answers],
                 details=[
-                    answer.body[:_SHOWN].decode(errors='replace')
+                    answer.body[:_MAX_QUOTED].decode(errors='replace')
                     for answer in answers
                 ],
             )
--- a/orchidrail/store/tests/test_relay.py
+++ b/orchidrail/store/tests/test_relay.py
@@ -132,7 +132,7 @@
         post = RawCall('POST', '/x')
         self.run_async(self.caller(post))
         self.assertEqual(['relay'], self.ways)
-        self.assertFalse(self.caller.direct_answers())
+        self.assertFalse(self.caller.direct_route_works())
 
     def test_a_silent_direct_way_is_tried_beside_a_read(self) -> None:
         async def scene() -> None:
@@ -142,7 +142,7 @@
             self.assertEqual(b'relayed', (await self.caller(_CALL)).body)
             await asyncio.sleep(0)
             self.assertEqual(b'', (await self.caller(_CALL)).body)
-            self.assertTrue(self.caller.direct_answers())
+            self.assertTrue(self.caller.direct_route_works())
 
         self.direct = RawAnswer(0)
         self.run_async(scene())
@@ -174,7 +174,7 @@
         """All open connections are silent, also the one to the peer."""
 
         async def direct(call: RawCall) -> RawAnswer:
-            if call.fresh:
+            if call.new_connection:
                 return RawAnswer(_OK, b'fresh')
             await asyncio.sleep(call.timeout)
             return RawAnswer(0)
--- a/orchidrail/tests/test_clocks.py
+++ b/orchidrail/tests/test_clocks.py
@@ -80,9 +80,9 @@
         lease = RunLease(6, 0)
         lease.observe(100, elapsed())
         lease.renew(elapsed())
-        self.assertFalse(lease.ended(elapsed()))
+        self.assertFalse(lease.expired(elapsed()))
         self.clock.suspended = _SUSPENDED
-        self.assertTrue(lease.ended(elapsed()))
+        self.assertTrue(lease.expired(elapsed()))
 
 
 class OneClockTest(TestCase):
--- a/orchidrail/work/step.py
+++ b/orchidrail/work/step.py
@@ -10,7 +10,7 @@
 from orchidrail.work.model import StepSpec
 from orchidrail.work.permits import Permits
 from orchidrail.work.records import TaskPhase, TaskRow
-from orchidrail.workers.incarnations import life_of, split_life
+from orchidrail.workers.incarnations import incarnation_id, split_incarnation_id
 
 if TYPE_CHECKING:
     from orchidrail.work.job import Job
@@ -68,7 +68,7 @@
 
     def row(self) -> TaskRow:
         """Return what the journal keeps of the task."""
-        name, born = split_life(self.worker)
+        name, born = split_incarnation_id(self.worker)
         return TaskRow(
             self.step.round_number,
             self.step.number,
@@ -87,7 +87,7 @@
         """Take what the journal kept."""
         self.phase = TaskPhase(row.phase)
         self.run = row.run
-        self.worker = life_of(row.worker, row.born)
+        self.worker = incarnation_id(row.worker, row.born)
         self.failures = row.failures
         self.checkpoint = row.checkpoint
         self.crashes = row.crashes
--- a/orchidrail/workers/entry_errors.py
+++ b/orchidrail/workers/entry_errors.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 
-class EntryFlaw(Enum):
+class EntryErrorKind(Enum):
     """What is wrong with an entry."""
 
     #: Its bytes are no document.
@@ -19,8 +19,8 @@
     SERVICE = 'service'
 
 
-class BadEntry(NamedTuple):
+class InvalidEntry(NamedTuple):
     """An entry that is passed over; `reason` quotes what was met."""
 
-    flaw: EntryFlaw
+    kind: EntryErrorKind
     reason: str
--- a/orchidrail/workers/incarnations.py
+++ b/orchidrail/workers/incarnations.py
@@ -11,29 +11,29 @@
 from orchidrail.types import WorkerId, WorkerName
 
 #: No name that is taken has it.
-SEPARATOR = '@'
+BORN_SEPARATOR = '@'
 
 
-def life_of(name: WorkerName, born: int | None) -> WorkerId:
+def incarnation_id(name: WorkerName, born: int | None) -> WorkerId:
     """Return the id of one life; a worker that tells no start has one only.
 
     Examples
     --------
-    >>> life_of(WorkerName('w-1'), 1700)
+    >>> incarnation_id(WorkerName('w-1'), 1700)
     'w-1@1700'
-    >>> life_of(WorkerName('w-1'), None)
+    >>> incarnation_id(WorkerName('w-1'), None)
     'w-1'
     """
-    return WorkerId(name if born is None else f'{name}{SEPARATOR}{born}')
+    return WorkerId(name if born is None else f'{name}{BORN_SEPARATOR}{born}')
 
 
-def split_life(worker: WorkerId) -> tuple[WorkerName, int | None]:
+def split_incarnation_id(worker: WorkerId) -> tuple[WorkerName, int | None]:
     """Return the name and the start of a life.
 
     Examples
     --------
-    >>> split_life(WorkerId('w-1@1700'))
+    >>> split_incarnation_id(WorkerId('w-1@1700'))
     ('w-1', 1700)
     """
-    name, separator, born = worker.partition(SEPARATOR)
+    name, separator, born = worker.partition(BORN_SEPARATOR)
     return WorkerName(name), int(born) if separator else None
--- a/orchidrail/workers/port.py
+++ b/orchidrail/workers/port.py
@@ -18,7 +18,7 @@
     WorkerName,
 )
 from orchidrail.work.size import Size
-from orchidrail.workers.incarnations import life_of
+from orchidrail.workers.incarnations import incarnation_id
 
 
 class WorkerState(Enum):
@@ -57,7 +57,7 @@
     @property
     def worker(self) -> WorkerId:
         """The life that registers itself."""
-        return life_of(self.name, self.born)
+        return incarnation_id(self.name, self.born)
 
     @property
     def rack(self) -> str:
@@ -116,9 +116,9 @@
     NO_ROOM = 'noRoom'
     NO_TICKET = 'noTicket'
     #: Another life answers at the address: this one is over.
-    OTHER_LIFE = 'otherLife'
+    OTHER_INCARNATION = 'otherLife'
     #: The worker is not well and has done nothing.
-    UNWELL = 'unwell'
+    UNHEALTHY = 'unwell'
     #: The worker could not make sense of the order.
     INVALID = 'invalid'
     #: The order can't have reached the worker.
@@ -229,7 +229,7 @@
     valid: Seconds
 
 
-class NamedTickets(NamedTuple):
+class TicketsByName(NamedTuple):
     """The same as the service gives it: it knows workers by their names."""
 
     ticket_by_name: dict[WorkerName, str]
@@ -244,5 +244,5 @@
         step_key: str,
         names: list[WorkerName],
         timeout: Seconds,
-    ) -> NamedTickets | None:
+    ) -> TicketsByName | None:
         """Ask about some workers; None if there is no answer."""
--- a/orchidrail/workers/run_lease.py
+++ b/orchidrail/workers/run_lease.py
@@ -11,7 +11,7 @@
 from orchidrail.types import Seconds
 
 #: Share by which a worker's clock may run slow, as the platform states.
-SLOWEST_CLOCK = 0.02
+MAX_CLOCK_SLOWDOWN = 0.02
 _NEVER: Seconds = math.inf
 
 
@@ -20,7 +20,7 @@
 
     Parameters
     ----------
-    longest : float
+    max_duration : float
         Seconds that one renewal may last.
     prior_leases_end : float
         Our clock's time before which a renewal by an earlier owner of the
@@ -28,24 +28,26 @@
 
     Examples
     --------
-    >>> lease = RunLease(longest=6, prior_leases_end=0)
+    >>> lease = RunLease(max_duration=6, prior_leases_end=0)
     >>> lease.observe(clock=100, at=50)
     >>> lease.renew(now=51)
     107
-    >>> lease.ended(now=57), lease.ended(now=58)
+    >>> lease.expired(now=57), lease.expired(now=58)
     (False, True)
     """
 
-    def __init__(self, longest: Seconds, prior_leases_end: Seconds) -> None:
+    def __init__(
+        self, max_duration: Seconds, prior_leases_end: Seconds
+    ) -> None:
         """Start without knowing the worker's clock."""
-        self._longest = longest
+        self._longest = max_duration
         self._prior_leases_end = prior_leases_end
         self._clock: Seconds | None = None
         self._observed_at: Seconds = 0
         self._latest: Seconds = -_NEVER
 
     @property
-    def known(self) -> bool:
+    def clock_known(self) -> bool:
         """Whether the worker's clock was ever read."""
         return self._clock is not None
 
@@ -67,18 +69,18 @@
 
     def renew(self, now: Seconds) -> Seconds:
         """Return the end to ask for, on the worker's clock."""
-        return self.promise(self.clock_at(now) + self._longest)
+        return self.extend_to(self.clock_at(now) + self._longest)
 
-    def promise(self, deadline: Seconds) -> Seconds:
+    def extend_to(self, deadline: Seconds) -> Seconds:
         """Note that an order with this deadline is about to be sent."""
         self._latest = max(self._latest, deadline)
         return deadline
 
     def adopt(self, now: Seconds) -> None:
         """Note that runs were found, leased by an earlier owner."""
-        self.promise(self.clock_at(now) + self._longest)
+        self.extend_to(self.clock_at(now) + self._longest)
 
-    def ended(self, now: Seconds) -> bool:
+    def expired(self, now: Seconds) -> bool:
         """Tell whether all that ran under the lease has surely ended.
 
         A worker that has answered takes no renewal of an earlier owner any
@@ -86,5 +88,5 @@
         """
         if self._clock is None:
             return now > self._prior_leases_end
-        passed = (now - self._observed_at) * (1 - SLOWEST_CLOCK)
+        passed = (now - self._observed_at) * (1 - MAX_CLOCK_SLOWDOWN)
         return self._clock + passed > self._latest
--- a/orchidrail/workers/session.py
+++ b/orchidrail/workers/session.py
@@ -19,7 +19,7 @@
 
 from orchidrail.background_tasks import BackgroundTasks
 from orchidrail.types import Epoch, Seconds, WorkerId
-from orchidrail.workers.incarnations import life_of
+from orchidrail.workers.incarnations import incarnation_id
 from orchidrail.workers.port import (
     HoldOrder,
     Listing,
@@ -34,19 +34,19 @@
 
 _log = structlog.get_logger()
 #: How long a worker may hold a look open; the lease is renewed with each.
-_LOOK_WAIT: Seconds = 0.8
+_POLL_WAIT: Seconds = 0.8
 #: Time beyond the wait after which a look counts as unanswered; an answer
 #: takes 1 to 4 ms, and until the next look no end is heard of.
-_LOOK_SLACK: Seconds = 0.25
+_POLL_SLACK: Seconds = 0.25
 #: Looks in a row that must fail before a worker counts as lost.
-_LOOKS_FAILED = 2
+_FAILED_POLLS_UNTIL_LOST = 2
 #: Pause after a look that failed.
 _FAILED_PAUSE: Seconds = 0.2
 #: Longest wait for the journal before the lease is renewed again.
 _JOURNAL_WAIT: Seconds = 0.5
 #: Time in which a start must reach its worker, on the worker's clock; later
 #: the worker refuses it, so that a late copy harms nothing.
-START_LIFE: Seconds = 0.4
+START_VALIDITY: Seconds = 0.4
 _START_TIMEOUT: Seconds = 0.35
 #: Added where a time on the worker's clock is waited for.
 _CLOCK_SLACK: Seconds = 0.02
@@ -69,7 +69,7 @@
         The writes that must end before its ends may be acknowledged.
         """
 
-    def on_life_over(self, session: WorkerSession) -> None:
+    def on_incarnation_ended(self, session: WorkerSession) -> None:
         """Take that nothing of this life runs any more."""
 
     def on_fenced(self, session: WorkerSession) -> None:
@@ -117,7 +117,7 @@
         self.worker: WorkerId = entry.worker
         self.lease = lease
         self.epoch = epoch
-        self.over = False
+        self.terminated = False
         #: Start of the life that came after this one under the same name.
         self.next_born: int | None = None
         #: Whether the latest look was answered.
@@ -126,39 +126,39 @@
         self.fence_raised = False
         self.lost_at: Seconds | None = clock()
         #: When this life answered last.
-        self.heard_at: Seconds = -math.inf
+        self.last_response_at: Seconds = -math.inf
         self._calls = calls
         self._observer = observer
         self._clock = clock
         self._may_renew = may_renew
         self._may_use_fence = may_use_fence
         self._raising = BackgroundTasks('fencing token')
-        self._looks = BackgroundTasks('look')
+        self._extra_polls = BackgroundTasks('look')
         self._failures = 0
         self._last_seen = 0
         self._last_heard = 0
 
     @property
-    def next_life(self) -> WorkerId | None:
+    def next_incarnation(self) -> WorkerId | None:
         """The life that came after this one under the same name, if known."""
         if self.next_born is None:
             return None
-        return life_of(self.entry.name, self.next_born)
+        return incarnation_id(self.entry.name, self.next_born)
 
     @property
-    def fallen_silent(self) -> bool:
+    def stopped_responding(self) -> bool:
         """Whether the worker answered before and does not now."""
-        return self.fence_raised and not self.reachable and not self.over
+        return self.fence_raised and not self.reachable and not self.terminated
 
     @property
-    def ends_heard(self) -> tuple[int, int]:
+    def ending_progress(self) -> tuple[int, int]:
         """Number of the last end that was acknowledged, and of that heard."""
         return self._last_seen, self._last_heard
 
     async def run(self) -> None:
         """Look again and again until this life of the worker is over."""
-        while not self.over:
-            await self._look()
+        while not self.terminated:
+            await self._poll()
 
     async def start(
         self,
@@ -169,19 +169,19 @@
     ) -> tuple[OrderAnswer, Seconds]:
         """Order a start; also return its deadline on the worker's clock.
 
-        The caller passes the answer on to `take_answer`, once it has noted for
-        the run what it says: it may end this life and all that runs here.
+        The caller passes the answer on to `handle_answer`, once it has noted
+        for the run what it says: it may end this life and all that runs here.
         """
-        deadline = self.lease.clock_at(self._clock()) + START_LIFE
-        self.lease.promise(deadline)
+        deadline = self.lease.clock_at(self._clock()) + START_VALIDITY
+        self.lease.extend_to(deadline)
         order = StartOrder(key, text, deadline, self.epoch, checkpoint, ticket)
         answer = await self._calls.start(self.entry, order, _START_TIMEOUT)
-        answer = self._excuse(answer, order.epoch)
+        answer = self._reclassify_own_fence(answer, order.epoch)
         if answer.result is OrderResult.UNKNOWN:
             # A look after the deadline tells whether the run is there.
             left = deadline - self.lease.clock_at(self._clock())
             loop = asyncio.get_running_loop()
-            loop.call_later(left + _CLOCK_SLACK, self.look_soon)
+            loop.call_later(left + _CLOCK_SLACK, self.poll_soon)
         return answer, deadline
 
     async def stop(self, key: RunKey) -> OrderAnswer:
@@ -193,19 +193,19 @@
             epoch,
             _STOP_TIMEOUT,
         )
-        answer = self._excuse(answer, epoch)
-        self.take_answer(answer)
+        answer = self._reclassify_own_fence(answer, epoch)
+        self.handle_answer(answer)
         return answer
 
-    def look_soon(self) -> None:
+    def poll_soon(self) -> None:
         """Look beside the look that waits, to learn something at once.
 
         The look that waits may be on a connection that went silent.
         """
-        if not self.over and not self._looks:
-            self._looks.spawn(self._look_once(0))
+        if not self.terminated and not self._extra_polls:
+            self._extra_polls.spawn(self._poll_once(0))
 
-    def void_orders(self) -> None:
+    def invalidate_orders(self) -> None:
         """Have what was ordered so far refused, soon, if it comes late.
 
         The deadline of a start in doubt binds this life alone. A next one under
@@ -220,13 +220,15 @@
         if await self._may_use_fence(token):
             self.epoch = token
 
-    def _excuse(self, answer: OrderAnswer, epoch: Epoch) -> OrderAnswer:
+    def _reclassify_own_fence(
+        self, answer: OrderAnswer, epoch: Epoch
+    ) -> OrderAnswer:
         """Take an order that this owner itself has fenced off for too late."""
         if answer.result is OrderResult.FENCED and epoch < self.epoch:
             return answer._replace(result=OrderResult.LATE)
         return answer
 
-    def is_life_of(self, born: int | None) -> bool:
+    def matches_incarnation(self, born: int | None) -> bool:
         """Tell whether what says that it was born then may be this life.
 
         What is heard first is taken for it, where the entry names no start. Who
@@ -238,35 +240,35 @@
             self.entry = msgspec.structs.replace(self.entry, born=born)
         return born == self.entry.born
 
-    def end_life(self, next_born: int | None = None) -> None:
+    def end_incarnation(self, next_born: int | None = None) -> None:
         """Note that this life is over, and which one came after it."""
-        if not self.over:
+        if not self.terminated:
             self.next_born = next_born
-            self.over = True
+            self.terminated = True
             self.reachable = False
-            self._observer.on_life_over(self)
+            self._observer.on_incarnation_ended(self)
 
     def close(self) -> None:
         """Take no further answers; what runs there may run on."""
-        self.over = True
+        self.terminated = True
         self.reachable = False
 
-    def take_answer(self, answer: OrderAnswer) -> None:
+    def handle_answer(self, answer: OrderAnswer) -> None:
         """Take what an answer tells of the worker's life and clock."""
         if answer.clock is not None:
-            self.heard_at = self._clock()
-            self.lease.observe(answer.clock, self.heard_at)
-        if answer.result is OrderResult.OTHER_LIFE:
+            self.last_response_at = self._clock()
+            self.lease.observe(answer.clock, self.last_response_at)
+        if answer.result is OrderResult.OTHER_INCARNATION:
             self._note_other_life(answer.born, answer.clock)
         elif answer.result is OrderResult.FENCED:
             self._observer.on_fenced(self)
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         behind = self._last_heard > self._last_seen
         doubted = behind or self._failures or not self.reachable
-        await self._look_once(0 if doubted else _LOOK_WAIT)
+        await self._poll_once(0 if doubted else _POLL_WAIT)
 
-    async def _look_once(self, wait: Seconds) -> None:
+    async def _poll_once(self, wait: Seconds) -> None:
         sent_at = self._clock()
         # A renewal without an answer may count all the same, so a worker that
         # is lost gets none: else its lease would never surely end.
@@ -276,23 +278,25 @@
         answer = await self._calls.hold(
             self.entry,
             order,
-            wait + _LOOK_SLACK,
+            wait + _POLL_SLACK,
         )
-        if self.over:
+        if self.terminated:
             # What an answer says of a life that is over helps nobody.
             return
         if isinstance(answer, Listing):
             await self._take_listing(answer, sent_at)
         else:
-            await self._take_failure(self._excuse(answer, order.epoch))
+            await self._take_failure(
+                self._reclassify_own_fence(answer, order.epoch)
+            )
 
     async def _take_listing(self, listing: Listing, sent_at: Seconds) -> None:
-        if not self.is_life_of(listing.born):
+        if not self.matches_incarnation(listing.born):
             self._note_other_life(listing.born, listing.clock)
             return
-        first = not self.lease.known
-        self.heard_at = self._clock()
-        self.lease.observe(listing.clock, self.heard_at)
+        first = not self.lease.clock_known
+        self.last_response_at = self._clock()
+        self.lease.observe(listing.clock, self.last_response_at)
         if first:
             self.lease.adopt(self._clock())
         if not self.reachable:
@@ -319,7 +323,7 @@
         born: int | None,
         clock: Seconds | None,
     ) -> None:
-        if not self.over:
+        if not self.terminated:
             _log.info(
                 'worker has started again',
                 worker=self.worker,
@@ -328,17 +332,17 @@
                 expected_clock=self._expected_clock(),
                 acknowledged=self._last_seen,
             )
-        self.end_life(born)
+        self.end_incarnation(born)
 
     def _expected_clock(self) -> Seconds | None:
-        if not self.lease.known:
+        if not self.lease.clock_known:
             return None
         return round(self.lease.clock_at(self._clock()), 3)
 
     async def _take_failure(self, answer: OrderAnswer) -> None:
-        self.take_answer(answer)
+        self.handle_answer(answer)
         self._failures += 1
-        if self._failures < _LOOKS_FAILED and not self.over:
+        if self._failures < _FAILED_POLLS_UNTIL_LOST and not self.terminated:
             return
         if self.reachable:
             _log.info(
--- a/orchidrail/workers/tests/fakes.py
+++ b/orchidrail/workers/tests/fakes.py
@@ -19,7 +19,7 @@
     WorkerEntry,
 )
 
-_LOOK_TAKES: Seconds = 0.01
+_POLL_DURATION: Seconds = 0.01
 
 
 def make_entry(name: str = 'w-1', cores: int = 64) -> WorkerEntry:
@@ -90,7 +90,7 @@
     ) -> Listing | OrderAnswer:
         """See `WorkerCalls.hold`."""
         self.holds.append(order)
-        await asyncio.sleep(_LOOK_TAKES)
+        await asyncio.sleep(_POLL_DURATION)
         if self.hold_result is not None:
             return OrderAnswer(self.hold_result)
         self.epoch = max(self.epoch, order.epoch)
--- a/orchidrail/workers/tests/test_lease.py
+++ b/orchidrail/workers/tests/test_lease.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from testtools import TestCase
 
-from orchidrail.workers.run_lease import SLOWEST_CLOCK, RunLease
+from orchidrail.workers.run_lease import MAX_CLOCK_SLOWDOWN, RunLease
 
 _LONGEST = 6
 _times = st.floats(min_value=0, max_value=1000)
@@ -15,8 +15,8 @@
 class LeaseTest(TestCase):
     def test_an_unmet_worker_is_doubted_until_a_time(self) -> None:
         lease = RunLease(_LONGEST, prior_leases_end=20)
-        self.assertFalse(lease.ended(20))
-        self.assertTrue(lease.ended(20.1))
+        self.assertFalse(lease.expired(20))
+        self.assertTrue(lease.expired(20.1))
 
     def test_an_answer_that_was_overtaken_changes_nothing(self) -> None:
         lease = RunLease(_LONGEST, prior_leases_end=0)
@@ -25,7 +25,7 @@
         self.assertEqual(111, lease.clock_at(61))
 
     @given(
-        rate=st.floats(min_value=1 - SLOWEST_CLOCK, max_value=1),
+        rate=st.floats(min_value=1 - MAX_CLOCK_SLOWDOWN, max_value=1),
         delay=st.floats(min_value=0, max_value=2),
         renewed=_times,
         passed=_times,
@@ -42,5 +42,5 @@
         lease.observe(clock=0, at=delay)
         end = lease.renew(delay + renewed)
         now = delay + renewed + passed
-        if lease.ended(now):
+        if lease.expired(now):
             self.assertGreaterEqual(now * rate + 1e-6, end)
--- a/orchidrail/workers/tests/test_session.py
+++ b/orchidrail/workers/tests/test_session.py
@@ -36,7 +36,7 @@
             return []
         return [asyncio.shield(self.written)]
 
-    def on_life_over(self, session: WorkerSession) -> None:
+    def on_incarnation_ended(self, session: WorkerSession) -> None:
         self.over += 1
 
     def on_fenced(self, session: WorkerSession) -> None:
@@ -79,8 +79,8 @@
 
     def test_the_lease_is_renewed_on_the_workers_clock(self) -> None:
         async def look() -> None:
-            await self.session._look()
-            await self.session._look()
+            await self.session._poll()
+            await self.session._poll()
             self.assertIsNone(self.worker.holds[0].deadline)
             self.assertEqual(106, self.worker.holds[1].deadline)
 
@@ -88,26 +88,26 @@
 
     def test_the_lease_of_a_lost_worker_comes_to_its_end(self) -> None:
         async def lose() -> None:
-            await self.session._look()
-            await self.session._look()
+            await self.session._poll()
+            await self.session._poll()
             self.worker.hold_result = OrderResult.UNKNOWN
             self.now = 55
-            await self.session._look()
+            await self.session._poll()
             self.assertTrue(self.session.reachable)
-            await self.session._look()
+            await self.session._poll()
             self.assertFalse(self.session.reachable)
             self.now = 60
-            await self.session._look()
-            self.assertFalse(self.session.lease.ended(61))
-            self.assertTrue(self.session.lease.ended(62))
+            await self.session._poll()
+            self.assertFalse(self.session.lease.expired(61))
+            self.assertTrue(self.session.lease.expired(62))
             self.assertIsNone(self.worker.holds[-1].deadline)
 
         asyncio.run(lose())
 
     def test_without_authority_nothing_is_renewed(self) -> None:
         async def look_twice() -> None:
-            await self.session._look()
-            await self.session._look()
+            await self.session._poll()
+            await self.session._poll()
 
         self.may_renew = False
         asyncio.run(look_twice())
@@ -116,26 +116,26 @@
         self.assertEqual([None, None], deadlines)
 
     def test_another_life_ends_the_session(self) -> None:
-        self.worker.hold_result = OrderResult.OTHER_LIFE
-        asyncio.run(self.session._look())
-        self.assertTrue(self.session.over)
+        self.worker.hold_result = OrderResult.OTHER_INCARNATION
+        asyncio.run(self.session._poll())
+        self.assertTrue(self.session.terminated)
         self.assertEqual(1, self.observer.over)
 
     def test_a_newer_owner_is_reported(self) -> None:
         self.worker.hold_result = OrderResult.FENCED
-        asyncio.run(self.session._look())
+        asyncio.run(self.session._poll())
         self.assertEqual(1, self.observer.fenced)
 
     def test_the_next_life_gets_no_acknowledgement_of_this_one(self) -> None:
         """Ends are numbered anew there; it would forget what nobody heard."""
 
         async def scene() -> None:
-            await self.session._look()
+            await self.session._poll()
             self.worker.end(_KEY, RunEnding.DONE)
-            await self.session._look()
+            await self.session._poll()
             self.worker.born = 2000
-            await self.session._look()
-            self.assertTrue(self.session.over)
+            await self.session._poll()
+            self.assertTrue(self.session.terminated)
             looks = len(self.worker.holds)
             await self.session.run()
             self.assertEqual(looks, len(self.worker.holds))
@@ -150,9 +150,9 @@
         self,
     ) -> None:
         async def scene() -> None:
-            looking = asyncio.create_task(self.session._look())
+            looking = asyncio.create_task(self.session._poll())
             await asyncio.sleep(0)
-            self.session.end_life()
+            self.session.end_incarnation()
             await looking
 
         asyncio.run(scene())
@@ -163,34 +163,34 @@
         async def scene() -> None:
             for born in (1000, None, 1000):
                 self.worker.born = born
-                await self.session._look()
+                await self.session._poll()
 
         asyncio.run(scene())
-        self.assertFalse(self.session.over)
+        self.assertFalse(self.session.terminated)
 
     def test_a_start_that_is_told_later_is_that_of_another_life(self) -> None:
         """Its software was replaced, which it does not outlive."""
 
         async def scene() -> None:
-            await self.session._look()
+            await self.session._poll()
             self.worker.born = 1000
-            await self.session._look()
+            await self.session._poll()
 
         asyncio.run(scene())
-        self.assertTrue(self.session.over)
+        self.assertTrue(self.session.terminated)
 
     def test_orders_that_this_owner_has_fenced_off_are_late(self) -> None:
         async def scene() -> None:
-            await self.session._look()
-            self.session.void_orders()
+            await self.session._poll()
+            self.session.invalidate_orders()
             await asyncio.sleep(0)
             await asyncio.sleep(0)
             self.assertEqual(8, self.session.epoch)
-            await self.session._look()
+            await self.session._poll()
             self.assertEqual(8, self.worker.holds[-1].epoch)
-            looking = asyncio.create_task(self.session._look_once(0))
+            looking = asyncio.create_task(self.session._poll_once(0))
             await asyncio.sleep(0)
-            self.session.void_orders()
+            self.session.invalidate_orders()
             self.worker.hold_result = OrderResult.FENCED
             await looking
 
--- a/standins/model/cell.py
+++ b/standins/model/cell.py
@@ -36,7 +36,7 @@
 from orchidrail.work.model import MemberInfo
 from orchidrail.work.size import Size
 from orchidrail.work.tenant import Tenant
-from orchidrail.workers.entry_errors import BadEntry
+from orchidrail.workers.entry_errors import InvalidEntry
 from orchidrail.workers.port import WorkerEntry
 from standins.model.gangs import GANG_WAIT, LoneEnd
 from standins.model.judging import (
@@ -78,7 +78,7 @@
 _decode_entry = msgspec.msgpack.Decoder(WorkerEntry).decode
 
 
-def _decode(key: str, raw: bytes) -> Result[WorkerEntry, BadEntry]:
+def _decode(key: str, raw: bytes) -> Result[WorkerEntry, InvalidEntry]:
     return Ok(_decode_entry(raw))
 
 
--- a/standins/model/workers.py
+++ b/standins/model/workers.py
@@ -241,7 +241,7 @@
         if worker.over:
             return OrderAnswer(OrderResult.NOT_SENT)
         if worker.entry.name != entry.name:
-            return OrderAnswer(OrderResult.OTHER_LIFE)
+            return OrderAnswer(OrderResult.OTHER_INCARNATION)
         return worker
 
     def silence(self, share: float, until: Seconds) -> None:
@@ -266,7 +266,7 @@
         if isinstance(worker, OrderAnswer):
             return worker
         if worker.entry.born != entry.born:
-            return OrderAnswer(OrderResult.OTHER_LIFE)
+            return OrderAnswer(OrderResult.OTHER_INCARNATION)
         if self._is_late(partial(self._start_late, entry, order)):
             await asyncio.sleep(timeout)
             return OrderAnswer(OrderResult.UNKNOWN)
