--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -65,7 +65,7 @@
     --------
     >>> ledger = TenantLedger()
     >>> tenant = Tenant(TenantId('stores'), 1, Size(1000, 0))
-    >>> ledger.add(QuotaUsage(tenant.name, Size(700, 10)))
+    >>> ledger.add_usage(QuotaUsage(tenant.name, Size(700, 10)))
     >>> ledger.more(tenant, Size(300, 10)), ledger.more(tenant, Size(301, 10))
     (1, 0)
     """
@@ -91,7 +91,7 @@
             return tenant
         return self._find_tenant(tenant.name) or tenant
 
-    def add(self, holding: QuotaUsage) -> None:
+    def add_usage(self, holding: QuotaUsage) -> None:
         """Count a run."""
         name = holding.tenant
         if not name:
@@ -104,7 +104,7 @@
             urgent = self._urgent_by_tenant[name]
             self._peak_by_tenant[name].note(urgent, self._clock())
 
-    def remove(self, holding: QuotaUsage) -> None:
+    def remove_usage(self, holding: QuotaUsage) -> None:
         """Take that a run which was counted has surely ended."""
         if not holding.tenant:
             return
--- a/orchidrail/shard/tests/fleet_case.py
+++ b/orchidrail/shard/tests/fleet_case.py
@@ -58,7 +58,7 @@
         value = encode(entry) if listed else b''
         await self.store.append(WORKERS, [KeyedRecord(entry.worker, value)])
 
-    async def take_over(
+    async def take_ownership(
         self,
         epoch: int,
         workers: FakeWorker | None = None,
@@ -78,7 +78,7 @@
 
         async def run() -> None:
             await self.write_entry(listed=True)
-            owner = await self.take_over(0)
+            owner = await self.take_ownership(0)
             running = asyncio.create_task(owner.run())
             await asyncio.sleep(READ_WAIT)
             try:
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -87,7 +87,7 @@
     ) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.write_entry(listed=False)
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(0.05)
             self.assertIn(
@@ -107,7 +107,7 @@
             self.assertTrue(await submitting)
             await self.write_entry(listed=True, name=_DEAF)
             workers = _PartlyDeaf()
-            following = await self.take_over(1, workers)
+            following = await self.take_ownership(1, workers)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(READ_WAIT)
             started = {order.key.task for order in workers.starts}
@@ -127,7 +127,9 @@
             crashed = ['w-1']
             for epoch in (1, 2):
                 await self.write_entry(listed=True, name=f'w-1{epoch}')
-                following = await self.take_over(epoch, _OtherLives(*crashed))
+                following = await self.take_ownership(
+                    epoch, _OtherLives(*crashed)
+                )
                 running = asyncio.create_task(following.run())
                 await asyncio.sleep(2 * READ_WAIT)
                 task = following.state.job_by_id[JOB].find_task(0, 0, 0)
@@ -265,7 +267,7 @@
             await asyncio.sleep(READ_WAIT)
             # Its entry lapses, and the owner is replaced.
             await self.write_entry(listed=False)
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(READ_WAIT)
             tracked = following.state.tracked_by_worker[leaving.worker]
--- a/orchidrail/shard/tests/test_foreign_entries.py
+++ b/orchidrail/shard/tests/test_foreign_entries.py
@@ -96,7 +96,7 @@
             record = KeyedRecord(own.name, encode(foreign))
             await self.store.append(WORKERS, [record])
             await asyncio.sleep(2 * READ_WAIT)
-            successor = await self.take_over(1)
+            successor = await self.take_ownership(1)
             running = asyncio.create_task(successor.run())
             await self.write_entry(listed=True)
             await asyncio.sleep(2 * READ_WAIT)
--- a/orchidrail/shard/tests/test_job_tenancy.py
+++ b/orchidrail/shard/tests/test_job_tenancy.py
@@ -94,7 +94,7 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def take_over(self, epoch: int, *tenants: Tenant) -> ShardOwner:
+    async def take_ownership(self, epoch: int, *tenants: Tenant) -> ShardOwner:
         view = JournalView(self.store, Topic('journal'))
         writer = await take_over(view, _ME, time.monotonic, Epoch(epoch))
         by_name = {tenant.name: tenant for tenant in tenants}
@@ -109,7 +109,7 @@
         """Run a scene beside the owner."""
 
         async def run() -> None:
-            owner = await self.take_over(0, *tenants)
+            owner = await self.take_ownership(0, *tenants)
             running = asyncio.create_task(owner.run())
             try:
                 await scenario(owner)
@@ -181,7 +181,7 @@
     def test_the_next_owner_knows_whose_it_is(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             self.assertEqual(_STORES, following.state.job_by_id[_JOB].tenant)
 
         self.run_scenario(scenario)
@@ -222,7 +222,7 @@
         async def scenario(owner: ShardOwner) -> None:
             owner.writer.put(job_key(_JOB), encode(ended))
             await owner.writer.flush()
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             ledger = following.state.ledger
             self.assertEqual(Size(2000, 10), ledger.used(_STORES.name))
             for worker in list(following.state.unresolved_runs):
--- a/orchidrail/shard/tests/test_next_incarnations.py
+++ b/orchidrail/shard/tests/test_next_incarnations.py
@@ -78,7 +78,7 @@
             await self.write_incarnation_entry(2000)
             workers = FakeWorker()
             workers.born = 2000
-            following = await self.take_over(1, workers)
+            following = await self.take_ownership(1, workers)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(READ_WAIT)
             task = following.state.job_by_id[JOB].find_task(0, 0, 0)
@@ -101,7 +101,7 @@
             workers.born = 1000
             key = RunKey(task.key, task.run)
             workers.active[key] = ActiveRun(key, '', 50)
-            following = await self.take_over(1, workers)
+            following = await self.take_ownership(1, workers)
             running = asyncio.create_task(following.run())
             await asyncio.sleep(READ_WAIT)
             kept = following.state.job_by_id[JOB].find_task(0, 0, 0)
@@ -127,7 +127,7 @@
                 await asyncio.sleep(2 * READ_WAIT)
                 epochs.append(worker.holds[-1].epoch)
             self.assertEqual([1, 2, 3], [one - epochs[0] + 1 for one in epochs])
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             self.assertGreater(following.writer.owner.epoch, epochs[-1])
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_owner.py
+++ b/orchidrail/shard/tests/test_owner.py
@@ -54,7 +54,7 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def take_over(self, epoch: int) -> ShardOwner:
+    async def take_ownership(self, epoch: int) -> ShardOwner:
         view = JournalView(self.store, Topic('journal'))
         writer = await take_over(view, _ME, time.monotonic, Epoch(epoch))
         ports = make_ports(self.store)
@@ -66,7 +66,7 @@
         """Run a scene beside the owner."""
 
         async def run() -> None:
-            owner = await self.take_over(0)
+            owner = await self.take_ownership(0)
             running = asyncio.create_task(owner.run())
             try:
                 await scenario(owner)
@@ -122,7 +122,7 @@
             self.assertIs(False, await submitting)
             self.store.fault = None
             await asyncio.sleep(0.3)
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             self.assertIsNone(following.phase(_JOB))
 
         self.run_scenario(scenario)
@@ -149,7 +149,7 @@
             view = owner.writer.view
             async with view.lock:
                 self.store.fault = None
-                following = await self.take_over(1)
+                following = await self.take_ownership(1)
             self.assertIs(False, await first)
             self.assertIsNone(following.phase(_JOB))
 
@@ -195,7 +195,7 @@
             other = JobId('f' * 16)
             await owner.submit(other, _QUEUE, _SPEC)
             await owner.cancel(other)
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             self.assertEqual(JobPhase.QUEUED, following.phase(_JOB))
             self.assertEqual(JobPhase.CANCELLED, following.phase(other))
             self.assertIsNone(following.phase(JobId('0' * 16)))
@@ -225,7 +225,7 @@
             await asyncio.sleep(0.05)
             again = asyncio.create_task(owner.cancel(_JOB))
             self.store.fault = None
-            following = await self.take_over(1)
+            following = await self.take_ownership(1)
             self.assertEqual(JobPhase.QUEUED, following.phase(_JOB))
             for outcome in await asyncio.gather(
                 first,
--- a/orchidrail/shard/tests/test_tenant_ledger.py
+++ b/orchidrail/shard/tests/test_tenant_ledger.py
@@ -36,7 +36,7 @@
         return len(self.ledger.within_limit(step, step.tasks))
 
     def test_a_gang_starts_whole_and_a_wide_step_in_waves(self) -> None:
-        self.ledger.add(QuotaUsage(_NAME, Size(35, 0)))
+        self.ledger.add_usage(QuotaUsage(_NAME, Size(35, 0)))
         self.assertEqual(
             0, self.allowed(_step(StepSpec(8, Size(10), gang=True)))
         )
@@ -44,16 +44,16 @@
 
     def test_room_is_kept_for_urgent_work(self) -> None:
         urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
-        self.ledger.add(urgent)
-        self.ledger.remove(urgent)
+        self.ledger.add_usage(urgent)
+        self.ledger.remove_usage(urgent)
         self.assertEqual(8, self.allowed(_step(StepSpec(10, Size(10)))))
         step = _step(StepSpec(10, Size(10)), urgent=True)
         self.assertEqual(10, self.allowed(step))
 
     def test_nothing_is_kept_from_a_gang_that_would_never_fit(self) -> None:
         urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
-        self.ledger.add(urgent)
-        self.ledger.remove(urgent)
+        self.ledger.add_usage(urgent)
+        self.ledger.remove_usage(urgent)
         gang = _step(StepSpec(9, Size(10), gang=True))
         self.assertEqual(9, self.allowed(gang))
 
--- a/orchidrail/shard/tracked_worker.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -270,7 +270,7 @@
             return
         self.run_by_key[run.key] = run
         if run.holding is not None:
-            self._ledger.add(run.holding)
+            self._ledger.add_usage(run.holding)
         if run.size is None:
             self._unsized += 1
         else:
@@ -289,7 +289,7 @@
             return None
         self.isolated_runs.discard(key)
         if run.holding is not None:
-            self._ledger.remove(run.holding)
+            self._ledger.remove_usage(run.holding)
         if run.size is None:
             self._unsized -= 1
         else:
--- a/orchidrail/shard/unresolved_runs.py
+++ b/orchidrail/shard/unresolved_runs.py
@@ -35,18 +35,18 @@
     def __setitem__(self, worker: WorkerId, placed: _Placed) -> None:
         """Take the runs of a worker, in place of those known so far."""
         for task, _ in self.data.get(worker, ()):
-            self._ledger.remove(quota_usage_of(task))
+            self._ledger.remove_usage(quota_usage_of(task))
         for task, _ in placed:
-            self._ledger.add(quota_usage_of(task))
+            self._ledger.add_usage(quota_usage_of(task))
         super().__setitem__(worker, placed)
 
     def pop_runs(self, worker: WorkerId) -> _Placed:
         """Forget the runs of a worker, heard of or over, and return them."""
         placed = self.data.pop(worker, [])
         for task, _ in placed:
-            self._ledger.remove(quota_usage_of(task))
+            self._ledger.remove_usage(quota_usage_of(task))
         for holding in self._left_by_worker.pop(worker, {}).values():
-            self._ledger.remove(holding)
+            self._ledger.remove_usage(holding)
         return placed
 
     def add(self, worker: WorkerId, placed: _Placed) -> None:
@@ -61,7 +61,7 @@
     ) -> None:
         """Add what an ended job may have left on a worker."""
         self.setdefault(worker, [])
-        self._ledger.add(holding)
+        self._ledger.add_usage(holding)
         self._left_by_worker[worker][key] = holding
 
     def lingering_on(self, worker: WorkerId, key: RunKey) -> QuotaUsage | None:
