--- a/orchidrail/shard/advice_dispatcher.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -1,9 +1,9 @@
-"""Questions for advice, spread over the machines of the system.
+"""Dispatches advice requests over the instances of the cell.
 
-The service deals with one call at a time for each machine that calls. So each
-machine is a lane with at most one call in it, the rest wait here, most urgent
-first. Long calls keep out of as many lanes as short ones used at their last
-peak, so that short ones find a lane at once.
+The advice service handles one call at a time per calling instance. Each
+instance is therefore a lane with at most one call in flight; other requests
+are queued here, most urgent first. As many lanes as short calls used at their
+last peak are reserved for them, so that a short call gets a lane at once.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from orchidrail.shard.advice_queue import (
     MAX_QUEUE_WAIT,
     AdviceQueue,
-    PendingAnswer,
-    Question,
+    AdviceRequest,
+    PendingReply,
     QueuedAdviceRequest,
 )
 from orchidrail.shard.decaying_peak import DecayingPeak
@@ -27,25 +27,25 @@
 from orchidrail.workers.port import Advice
 
 _log = structlog.get_logger()
-#: Calls above this length keep out of the quick lanes.
+#: Calls expected to take longer than this may not use the reserved lanes.
 _LONG_CALL: Seconds = 0.15
-#: Most of the lanes that are ever kept from long calls, as a share.
+#: Largest share of the lanes that is reserved for short calls.
 _MAX_RESERVED_SHARE = 0.4
-#: Time beyond the expected one after which a call is given up.
+#: Part of the call timeout that does not depend on the expected duration.
 _TIMEOUT_MARGIN: Seconds = 1.0
-#: Factor on the expected time, since the service may be slow.
+#: Call timeout as a multiple of the expected duration: the service may be slow.
 _TIMEOUT_FACTOR = 2
-#: A call that takes longer than so many times what is expected, and this much
-#: more, is made through another lane as well: its answer travels in 4 ms, and
-#: an urgent job has 0.3 to 0.6 s to spare.
-_LATE_FACTOR = 1.25
-_LATE_AFTER: Seconds = 0.15
-_MOMENT: Seconds = 0.01
-#: When a long question that still waits may take any lane.
-_LATE_LONG_AFTER: Seconds = MAX_QUEUE_WAIT + _MOMENT
-#: For how long a lane that failed is not used.
+#: A call is hedged through a second lane once it exceeds its expected duration
+#: by this factor plus this margin. Network latency is only 4 ms, and an urgent
+#: job has 0.3 to 0.6 s of slack.
+_HEDGE_FACTOR = 1.25
+_HEDGE_MARGIN: Seconds = 0.15
+_TIMER_MARGIN: Seconds = 0.01
+#: When a long request that is still queued may take any lane.
+_LONG_OVERDUE_AFTER: Seconds = MAX_QUEUE_WAIT + _TIMER_MARGIN
+#: For how long a lane is not used after a failed call.
 _LANE_BACKOFF: Seconds = 1.0
-_TRIES = 4
+_MAX_ATTEMPTS = 4
 
 CallAdvice = Callable[
     [InstanceId, str, list[WorkerId], Seconds],
@@ -54,12 +54,12 @@
 
 
 class AdviceDispatcher:
-    """Deals questions out to lanes.
+    """Assigns advice requests to lanes.
 
     Parameters
     ----------
     ask : callable
-        Asks through the named machine.
+        Calls the advice service through the given instance.
     clock : callable
         Monotonic seconds.
     """
@@ -68,164 +68,164 @@
         """Start without lanes."""
         self._ask = ask
         self._clock = clock
-        self._short = AdviceQueue(clock)
-        self._long = AdviceQueue(clock)
+        self._short_queue = AdviceQueue(clock)
+        self._long_queue = AdviceQueue(clock)
         self._lanes: set[InstanceId] = set()
         self._idle: list[InstanceId] = []
         self._busy: set[InstanceId] = set()
-        self._resting: set[InstanceId] = set()
+        self._in_backoff: set[InstanceId] = set()
         self._short_calls = 0
         self._long_calls = 0
         self._short_peak = DecayingPeak()
-        self._tasks = BackgroundTasks('call for advice')
+        self._tasks = BackgroundTasks('advice call')
 
     def set_advice_lanes(self, lanes: list[InstanceId]) -> None:
-        """Use these machines from now on."""
+        """Replace the set of lanes."""
         self._lanes = set(lanes)
-        free = self._lanes - self._busy - self._resting
+        free = self._lanes - self._busy - self._in_backoff
         self._idle = sorted(free)
-        self._deal()
+        self._dispatch()
 
     @property
     def lanes(self) -> int:
-        """How many machines can be asked through."""
+        """Number of instances through which the service can be called."""
         return len(self._lanes)
 
-    async def ask(self, question: Question) -> Advice | None:
-        """Return the advice, or None if it can't be had."""
-        for _ in range(_TRIES):
-            pending = PendingAnswer()
-            self._put(question, pending)
+    async def ask(self, request: AdviceRequest) -> Advice | None:
+        """Return the advice, None if it is unavailable or no longer needed."""
+        for _ in range(_MAX_ATTEMPTS):
+            pending = PendingReply()
+            self._enqueue(request, pending)
             advice = await pending.future
-            if advice is not None or not question.needed():
+            if advice is not None or not request.needed():
                 return advice
         return None
 
     def load(self) -> dict[str, int]:
-        """Return how busy the lanes are."""
+        """Return the utilization of the lanes, for the load report."""
         return {
             'lanes': len(self._lanes),
             'busy_lanes': len(self._busy),
             'short_calls': self._short_calls,
             'long_calls': self._long_calls,
-            'questions': len(self._short) + len(self._long),
+            'questions': len(self._short_queue) + len(self._long_queue),
         }
 
     def close(self) -> None:
-        """Give up all calls in progress."""
+        """Cancel all calls in flight."""
         self._tasks.close()
 
-    def _put(self, question: Question, pending: PendingAnswer) -> None:
-        waiting = QueuedAdviceRequest(question, pending, self._clock())
-        long = question.duration > _LONG_CALL
-        (self._long if long else self._short).put(waiting)
-        self._deal()
+    def _enqueue(self, request: AdviceRequest, pending: PendingReply) -> None:
+        queued = QueuedAdviceRequest(request, pending, self._clock())
+        long = request.duration > _LONG_CALL
+        (self._long_queue if long else self._short_queue).put(queued)
+        self._dispatch()
         if long:
             loop = asyncio.get_running_loop()
-            loop.call_later(_LATE_LONG_AFTER, self._deal)
+            loop.call_later(_LONG_OVERDUE_AFTER, self._dispatch)
 
-    def _kept_from_long(self) -> int:
-        """Return how many lanes long calls leave to short ones."""
+    def _reserved_for_short(self) -> int:
+        """Return how many lanes are reserved for short calls."""
         count = len(self._lanes)
         wanted = math.ceil(self._short_peak.at(self._clock()))
         return max(
             min(count - 1, 1), min(wanted, int(count * _MAX_RESERVED_SHARE))
         )
 
-    def _deal(self) -> None:
-        """Give idle lanes what waits."""
+    def _dispatch(self) -> None:
+        """Assign queued requests to idle lanes."""
         while self._idle:
-            waiting = self._take()
-            if waiting is None:
+            queued = self._next_request()
+            if queued is None:
                 return
             lane = self._idle.pop()
             self._busy.add(lane)
-            self._tasks.spawn(self._call(lane, waiting))
+            self._tasks.spawn(self._call(lane, queued))
 
-    def _take(self) -> QueuedAdviceRequest | None:
-        """Take a short call, else a long one.
+    def _next_request(self) -> QueuedAdviceRequest | None:
+        """Dequeue a short request, else a long one.
 
-        One that is late may take any lane that is idle. Where there is but one
-        lane it goes first, since short ones would else keep it for good.
+        A long request that is overdue may take any idle lane. With a single
+        lane it goes first, as short requests could otherwise starve it.
         """
-        lines = [self._short]
-        if self._long_is_late():
-            lines.insert(0 if len(self._lanes) == 1 else 1, self._long)
-        elif self._long_allowed():
-            lines.append(self._long)
-        taken = (line.take() for line in lines)
+        queues = [self._short_queue]
+        if self._long_is_overdue():
+            queues.insert(0 if len(self._lanes) == 1 else 1, self._long_queue)
+        elif self._long_may_start():
+            queues.append(self._long_queue)
+        taken = (queue.take() for queue in queues)
         return next(filter(None, taken), None)
 
-    def _long_is_late(self) -> bool:
-        since = self._long.oldest_since()
+    def _long_is_overdue(self) -> bool:
+        since = self._long_queue.oldest_since()
         return since is not None and self._clock() - since > MAX_QUEUE_WAIT
 
-    def _long_allowed(self) -> bool:
-        return self._long_calls < len(self._lanes) - self._kept_from_long()
+    def _long_may_start(self) -> bool:
+        return self._long_calls < len(self._lanes) - self._reserved_for_short()
 
     async def _call(
-        self, lane: InstanceId, waiting: QueuedAdviceRequest
+        self, lane: InstanceId, queued: QueuedAdviceRequest
     ) -> None:
-        question = waiting.question
+        request = queued.request
         advice: Advice | None = None
-        self._count_call(question, 1)
+        self._count_call(request, 1)
         self._short_peak.note(self._short_calls, self._clock())
-        late = asyncio.get_running_loop().call_later(
-            question.duration * _LATE_FACTOR + _LATE_AFTER,
-            self._ask_again,
-            waiting,
+        hedge_timer = asyncio.get_running_loop().call_later(
+            request.duration * _HEDGE_FACTOR + _HEDGE_MARGIN,
+            self._hedge,
+            queued,
         )
         try:
-            with question.during_call():
+            with request.during_call():
                 advice = await self._ask(
                     lane,
-                    question.step_key,
-                    question.workers,
-                    question.duration * _TIMEOUT_FACTOR + _TIMEOUT_MARGIN,
+                    request.step_key,
+                    request.workers,
+                    request.duration * _TIMEOUT_FACTOR + _TIMEOUT_MARGIN,
                 )
         finally:
-            late.cancel()
-            self._end_call(lane, waiting, advice)
+            hedge_timer.cancel()
+            self._end_call(lane, queued, advice)
         if advice is None:
-            _log.info('no advice', lane=lane, step=question.step_key)
-        self._deal()
+            _log.info('no advice', lane=lane, step=request.step_key)
+        self._dispatch()
 
-    def _ask_again(self, waiting: QueuedAdviceRequest) -> None:
-        """Ask through another lane beside a call that is late.
+    def _hedge(self, queued: QueuedAdviceRequest) -> None:
+        """Repeat a slow call through another lane.
 
-        The lane's machine, or a connection on the way, may be silent for good.
-        Asking twice changes nothing; the first answer counts.
+        The lane's instance or a connection on the route may have stopped
+        responding. Calls are idempotent; the first reply is used.
         """
-        if waiting.pending.calls == 1 and waiting.of_use():
-            self._put(waiting.question, waiting.pending)
+        if queued.pending.calls == 1 and queued.is_needed():
+            self._enqueue(queued.request, queued.pending)
 
     def _end_call(
         self,
         lane: InstanceId,
-        waiting: QueuedAdviceRequest,
+        queued: QueuedAdviceRequest,
         advice: Advice | None,
     ) -> None:
-        self._count_call(waiting.question, -1)
-        waiting.pending.end_call(advice)
-        self._free(lane, rests=advice is None)
+        self._count_call(queued.request, -1)
+        queued.pending.end_call(advice)
+        self._release_lane(lane, failed=advice is None)
 
-    def _count_call(self, question: Question, change: int) -> None:
-        if question.duration > _LONG_CALL:
+    def _count_call(self, request: AdviceRequest, change: int) -> None:
+        if request.duration > _LONG_CALL:
             self._long_calls += change
         else:
             self._short_calls += change
 
-    def _free(self, lane: InstanceId, *, rests: bool) -> None:
+    def _release_lane(self, lane: InstanceId, *, failed: bool) -> None:
         self._busy.discard(lane)
-        if rests:
-            self._resting.add(lane)
+        if failed:
+            self._in_backoff.add(lane)
             loop = asyncio.get_running_loop()
-            loop.call_later(_LANE_BACKOFF, self._end_rest, lane)
+            loop.call_later(_LANE_BACKOFF, self._end_backoff, lane)
         elif lane in self._lanes:
             self._idle.append(lane)
 
-    def _end_rest(self, lane: InstanceId) -> None:
-        self._resting.discard(lane)
+    def _end_backoff(self, lane: InstanceId) -> None:
+        self._in_backoff.discard(lane)
         if lane in self._lanes and lane not in self._busy:
             self._idle.append(lane)
-        self._deal()
+        self._dispatch()
--- a/orchidrail/shard/advice_queue.py
+++ b/orchidrail/shard/advice_queue.py
@@ -1,4 +1,4 @@
-"""Questions that wait for a lane, most pressing first."""
+"""Priority queue of advice requests that wait for a lane."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from orchidrail.types import Seconds, WorkerId
 from orchidrail.workers.port import Advice
 
-#: Of so many questions taken one is the one that has waited longest.
-_OLDEST_EVERY = 4
-#: A question that has waited for longer goes first, the oldest of them. Work
-#: may stand still for 3 s; the call itself, and a second one, take the rest.
+#: Every n-th request dequeued is the oldest one, whatever its rank.
+_OLDEST_FIRST_INTERVAL = 4
+#: Requests that have been queued for longer go first, oldest first. A task may
+#: be stalled for 3 s, of which the call and a possible retry take the rest.
 MAX_QUEUE_WAIT: Seconds = 1.0
 
 
@@ -24,15 +24,21 @@
     return True
 
 
-class Question(NamedTuple):
-    """Which of `workers` may run the step; `rank` orders the questions.
+class AdviceRequest(NamedTuple):
+    """Asks which of `workers` may run a step.
 
     Parameters
     ----------
+    step_key : str
+    workers : list of str
+    duration : float
+        Expected duration of the call, seconds.
+    rank : tuple of float
+        Requests of lower rank go first.
     needed : callable
-        Whether the answer would still be of use.
+        Returns whether the advice would still be used.
     during_call : callable
-        Returns what is entered for as long as it is being asked.
+        Returns a context manager that is entered while a call is in flight.
     """
 
     step_key: str
@@ -43,18 +49,18 @@
     during_call: Callable[[], AbstractContextManager[None]] = nullcontext
 
 
-class PendingAnswer:
-    """Where the answer to a question goes that may be asked twice."""
+class PendingReply:
+    """The reply to a request, for which several calls may be made."""
 
     def __init__(self) -> None:
-        """Wait for the answer."""
+        """Create a future for the reply."""
         self.future: asyncio.Future[Advice | None] = (
             asyncio.get_running_loop().create_future()
         )
         self.calls = 0
 
     def end_call(self, advice: Advice | None) -> None:
-        """Take how a call ended; the first answer counts, or the last end."""
+        """Resolve with the first advice, or None after the last failed call."""
         self.calls -= 1
         if self.future.done():
             return
@@ -63,43 +69,43 @@
 
 
 class QueuedAdviceRequest:
-    """A question that waits for a lane or is being asked.
+    """A request that is queued for a lane or whose call is in flight.
 
     Parameters
     ----------
-    question : Question
-    pending : PendingAnswer
-        Where the answer goes.
+    request : AdviceRequest
+    pending : PendingReply
+        Receives the reply.
     since : float
-        When it began to wait, seconds of the steady clock.
+        When it was queued, monotonic seconds.
     """
 
     def __init__(
         self,
-        question: Question,
-        pending: PendingAnswer,
+        request: AdviceRequest,
+        pending: PendingReply,
         since: Seconds,
     ) -> None:
-        """Count as one call."""
+        """Register a call with the pending reply."""
         pending.calls += 1
         self.since = since
-        self.question = question
+        self.request = request
         self.pending = pending
         self.taken = False
 
-    def of_use(self) -> bool:
-        """Whether somebody waits for the answer and needs it."""
-        return not self.pending.future.done() and self.question.needed()
+    def is_needed(self) -> bool:
+        """Whether the reply is still awaited and needed."""
+        return not self.pending.future.done() and self.request.needed()
 
 
 class AdviceQueue:
-    """Questions in order of their rank, and of their age.
+    """Advice requests ordered by rank, with aging.
 
-    The most pressing go first, but none waits for long while others keep
-    coming: late work is the least pressing, and would stand still.
+    The most urgent requests go first, but none is starved by a steady flow of
+    others: overdue work has the lowest urgency and would be stalled.
 
-    Each operation takes a time that grows with the logarithm of what waits:
-    after a loss of power hundreds of steps ask at once.
+    Each operation takes logarithmic time, as hundreds of steps request advice
+    at once after a power failure.
 
     Parameters
     ----------
@@ -110,7 +116,7 @@
     def __init__(self, clock: Callable[[], Seconds]) -> None:
         """Start empty."""
         self._clock = clock
-        self._numbers = itertools.count()
+        self._sequence = itertools.count()
         self._by_rank: list[
             tuple[tuple[float, ...], int, QueuedAdviceRequest]
         ] = []
@@ -119,49 +125,49 @@
         self._taken = 0
 
     def __len__(self) -> int:
-        """Return how many questions wait."""
+        """Return the number of queued requests."""
         return self._waiting
 
     def oldest_since(self) -> Seconds | None:
-        """Return since when the oldest question waits, None if none does."""
+        """Return when the oldest request was queued, None if there is none."""
         while self._by_age and self._by_age[0].taken:
             self._by_age.popleft()
         return self._by_age[0].since if self._by_age else None
 
-    def put(self, waiting: QueuedAdviceRequest) -> None:
-        """Let a question wait."""
+    def put(self, queued: QueuedAdviceRequest) -> None:
+        """Add a request to the queue."""
         self._waiting += 1
-        entry = (waiting.question.rank, next(self._numbers), waiting)
+        entry = (queued.request.rank, next(self._sequence), queued)
         heapq.heappush(self._by_rank, entry)
-        self._by_age.append(waiting)
+        self._by_age.append(queued)
 
     def take(self) -> QueuedAdviceRequest | None:
-        """Take the next question of use; drop those that are not."""
+        """Remove the next request that is still needed; drop the others."""
         while self._waiting:
-            oldest = self._is_turn_of_oldest()
-            waiting = self._pop_oldest() if oldest else self._pop_first()
+            oldest = self._oldest_is_next()
+            queued = self._pop_oldest() if oldest else self._pop_most_urgent()
             self._waiting -= 1
-            waiting.taken = True
-            if waiting.of_use():
+            queued.taken = True
+            if queued.is_needed():
                 self._taken += 1
-                return waiting
-            waiting.pending.end_call(None)
+                return queued
+            queued.pending.end_call(None)
         return None
 
-    def _is_turn_of_oldest(self) -> bool:
-        if not (self._taken + 1) % _OLDEST_EVERY:
+    def _oldest_is_next(self) -> bool:
+        if not (self._taken + 1) % _OLDEST_FIRST_INTERVAL:
             return True
         since = self.oldest_since()
         return since is not None and self._clock() - since > MAX_QUEUE_WAIT
 
-    def _pop_first(self) -> QueuedAdviceRequest:
-        waiting = heapq.heappop(self._by_rank)[-1]
-        while waiting.taken:
-            waiting = heapq.heappop(self._by_rank)[-1]
-        return waiting
+    def _pop_most_urgent(self) -> QueuedAdviceRequest:
+        queued = heapq.heappop(self._by_rank)[-1]
+        while queued.taken:
+            queued = heapq.heappop(self._by_rank)[-1]
+        return queued
 
     def _pop_oldest(self) -> QueuedAdviceRequest:
-        waiting = self._by_age.popleft()
-        while waiting.taken:
-            waiting = self._by_age.popleft()
-        return waiting
+        queued = self._by_age.popleft()
+        while queued.taken:
+            queued = self._by_age.popleft()
+        return queued
--- a/orchidrail/shard/advice_requester.py
+++ b/orchidrail/shard/advice_requester.py
@@ -1,4 +1,4 @@
-"""Questions which workers may run a step, and what their answers lead to."""
+"""Requests advice on eligible workers, and places tasks on the reply."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from orchidrail.background_tasks import BackgroundTasks
 from orchidrail.shard.advice_dispatcher import AdviceDispatcher
-from orchidrail.shard.advice_queue import Question
+from orchidrail.shard.advice_queue import AdviceRequest
 from orchidrail.shard.approval_rates import ApprovalRates
 from orchidrail.shard.candidate_workers import may_place_on
 from orchidrail.shard.colocation import may_colocate
@@ -24,52 +24,52 @@
 from orchidrail.work.step import StepState, longest_waiting_first
 from orchidrail.workers.port import Advice
 
-#: Workers asked about in one call while others may do.
-_ASKED_AT_ONCE = 30
-#: Most workers that the service takes in one call.
-_MOST_IN_CALL = 100
-#: Fewer workers in one call make it hardly shorter: what a call takes for
-#: itself is that of about 70 workers on the users' sites.
-_LEAST_PART = 12
-#: A step asks through one lane for each so many that are idle: each call has a
-#: cost of its own, and busy lanes would only be busier.
-_LANES_FOR_PART = 4
-#: Questions that may wait for a lane, for each lane: more would only wait, and
-#: the steps are looked at again, the most pressing first, when these have gone.
-_AHEAD = 1
-#: The same for steps that have waited too long: the tickets of others, which
-#: are renewed whenever a run has failed, may fill the line for good.
-_AHEAD_OVERDUE = 3
-#: How many times the workers that would do, were they empty, a gang asks about.
-#: It needs room for all of its members at once, and in a busy cell few of its
-#: good workers have any. On modelled days of gangs of twenty near the limit of
-#: a cell 0.015 of all worth, 0.03 of the gangs'.
-_GANG_CHOICE = 3
-#: Pause after advice could not be had.
-_ADVICE_PAUSE: Seconds = 0.3
-#: A ticket must hold for this long to be used: the start must get there.
+#: Usual number of workers per call.
+_WORKERS_PER_CALL = 30
+#: Most workers that the service accepts in one call.
+_MAX_WORKERS_PER_CALL = 100
+#: Splitting below this hardly shortens a call: on the users' sites the fixed
+#: cost of a call equals that of about 70 workers.
+_MIN_WORKERS_PER_CALL = 12
+#: A step makes one call for each so many idle lanes: every call has a fixed
+#: cost, and more calls would only add load to busy lanes.
+_IDLE_LANES_PER_CALL = 4
+#: Initial requests that may be queued per lane. More would only wait, and once
+#: these are sent, the steps are considered again, the most urgent first.
+_QUEUED_PER_LANE = 1
+#: The same for overdue steps, so that requests of other steps, repeated after
+#: each failed run, cannot fill the queue for good.
+_QUEUED_PER_LANE_OVERDUE = 3
+#: Factor on the number of workers that a gang would need if they were idle. It
+#: needs free capacity for all members at once, which few of its permitted
+#: workers have in a busy cell. In simulations with gangs of twenty near the
+#: capacity of a cell this gains 0.015 of the total worth, 0.03 of the gangs'.
+_GANG_OVERSAMPLING = 3
+#: Pause after a request that got no advice.
+_RETRY_PAUSE: Seconds = 0.3
+#: Remaining validity that a ticket needs to be used: time to send the start.
 TICKET_MARGIN: Seconds = 0.15
 
 
 class _Batch(NamedTuple):
-    """A question of a step, and the room that is kept for its answer."""
+    """The workers of one advice request, and the capacity held meanwhile."""
 
     rank: Rank
     step: StepState
-    about: list[TrackedWorker]
+    candidates: list[TrackedWorker]
     held: list[TrackedWorker]
-    #: Whether it is about workers of which nothing is known.
-    first: bool
+    #: Whether the workers have not been checked before.
+    initial: bool
 
 
 class AdviceRequester:
-    """Asks for the steps of one shard.
+    """Requests advice for the steps of one shard.
 
     Parameters
     ----------
     state : ShardState
     runs : RunTracker
-        Starts what room was kept for.
+        Starts the runs that capacity was held for.
     dispatcher : AdviceDispatcher
     """
 
@@ -79,19 +79,19 @@
         runs: RunTracker,
         dispatcher: AdviceDispatcher,
     ) -> None:
-        """Ask nothing yet."""
+        """Start without requests."""
         self._state = state
         self._runs = runs
         self._dispatcher = dispatcher
         self._approvals = ApprovalRates()
-        self._asking = 0
-        #: First questions of steps that are not urgent. Renewals are not among
-        #: them: they follow each failed run, and would keep others from asking.
-        self._asking_first = 0
-        self._tasks = BackgroundTasks('question')
+        self._calls_in_flight = 0
+        #: Initial calls for steps that are not urgent. Ticket renewals do not
+        #: count: they follow every failed run and would block other requests.
+        self._initial_calls = 0
+        self._tasks = BackgroundTasks('advice request')
 
     def close(self) -> None:
-        """Give up all questions in progress."""
+        """Cancel all requests in progress."""
         self._tasks.close()
 
     def request_candidates(
@@ -99,29 +99,37 @@
         rank: Rank,
         step: StepState,
         missing: int,
-        unknown: list[TrackedWorker],
+        unchecked: list[TrackedWorker],
     ) -> None:
-        """Ask about workers of which nothing is known, the emptiest first."""
-        if not unknown:
+        """Request advice on unchecked workers, those with free CPU first."""
+        if not unchecked:
             return
-        unknown.sort(key=lambda tracked: -tracked.free.millicores)
-        copies = max(1, step.spec.charged.copies_in(unknown[0].free))
-        choice = _GANG_CHOICE if step.spec.gang and not step.job.urgent else 1
-        useful = choice * self._approvals.needed(
+        unchecked.sort(key=lambda tracked: -tracked.free.millicores)
+        copies = max(1, step.spec.charged.copies_in(unchecked[0].free))
+        oversampling = (
+            _GANG_OVERSAMPLING if step.spec.gang and not step.job.urgent else 1
+        )
+        wanted = oversampling * self._approvals.workers_to_ask(
             step.job.queue.name,
             missing / copies,
         )
         lanes = self._dispatcher.lanes
-        ahead = _AHEAD_OVERDUE if is_overdue(rank) else _AHEAD
-        # Urgent ones are not counted: they may come for as long as they like.
-        if not step.job.urgent and self._asking_first > lanes * (1 + ahead):
+        queued_per_lane = (
+            _QUEUED_PER_LANE_OVERDUE if is_overdue(rank) else _QUEUED_PER_LANE
+        )
+        # Urgent requests are not limited.
+        if not step.job.urgent and self._initial_calls > lanes * (
+            1 + queued_per_lane
+        ):
             return
-        idle = lanes - self._asking
-        parts = max(1, idle // _LANES_FOR_PART)
-        most = _ASKED_AT_ONCE * parts
-        about = unknown[: min(most, max(_ASKED_AT_ONCE, useful))]
-        for part in _split(about, parts):
-            self._ask(_Batch(rank, step, part, part, first=True))
+        idle = lanes - self._calls_in_flight
+        calls = max(1, idle // _IDLE_LANES_PER_CALL)
+        max_candidates = _WORKERS_PER_CALL * calls
+        candidates = unchecked[
+            : min(max_candidates, max(_WORKERS_PER_CALL, wanted))
+        ]
+        for group in _split_into_calls(candidates, calls):
+            self._send(_Batch(rank, step, group, group, initial=True))
 
     def renew_tickets(
         self,
@@ -130,109 +138,124 @@
         chosen: list[Placement],
         missing: int,
     ) -> None:
-        """Keep the room found, and have the tickets for it renewed.
+        """Hold capacity on the chosen workers and renew their tickets.
 
         Parameters
         ----------
         missing : int
-            Tasks that found no room. As many more workers are asked about, if
-            the call stays short: the step asks again only after the answer, and
-            they may have room then. For a gang, which starts whole, there is
-            one for each that is kept.
+            Tasks without a worker. As many more workers are checked, as long
+            as the call stays short: the next request follows only after the
+            reply, when they may have free capacity. A gang starts as a whole,
+            so one more is checked for each worker chosen.
         """
-        kept_by_worker: dict[WorkerId, Size] = defaultdict(Size)
+        held_by_worker: dict[WorkerId, Size] = defaultdict(Size)
         tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
         for _, tracked in chosen:
-            kept_by_worker[tracked.worker] += step.spec.charged
+            held_by_worker[tracked.worker] += step.spec.charged
             tracked_by_worker[tracked.worker] = tracked
-        for worker, size in kept_by_worker.items():
+        for worker, size in held_by_worker.items():
             tracked_by_worker[worker].hold(step.key, size)
-        chosen_books = list(tracked_by_worker.values())
-        wanted = len(chosen_books) if step.spec.gang else missing
-        most = max(0, _ASKED_AT_ONCE - len(chosen_books))
-        spare = 0 if step.job.urgent else min(wanted, most)
-        about = chosen_books + self._stale(step, chosen_books)[:spare]
-        for part in _deal(about, math.ceil(len(about) / _MOST_IN_CALL)):
-            held = chosen_books if step.spec.gang else part
-            self._ask(_Batch(rank, step, part, held, first=False))
+        chosen_workers = list(tracked_by_worker.values())
+        extra_wanted = len(chosen_workers) if step.spec.gang else missing
+        max_extra = max(0, _WORKERS_PER_CALL - len(chosen_workers))
+        extra = 0 if step.job.urgent else min(extra_wanted, max_extra)
+        candidates = (
+            chosen_workers
+            + self._with_expired_tickets(step, chosen_workers)[:extra]
+        )
+        for group in _split_evenly(
+            candidates, math.ceil(len(candidates) / _MAX_WORKERS_PER_CALL)
+        ):
+            held = chosen_workers if step.spec.gang else group
+            self._send(_Batch(rank, step, group, held, initial=False))
 
-    def _stale(
+    def _with_expired_tickets(
         self,
         step: StepState,
         chosen: list[TrackedWorker],
     ) -> list[TrackedWorker]:
-        """Return the other permitted workers whose tickets have run out."""
+        """Return the other permitted workers whose tickets have expired."""
         until = self._state.clock() + TICKET_MARGIN
         others = step.permits.permitted - {tracked.worker for tracked in chosen}
-        every = self._state.tracked_by_worker
+        workers = self._state.tracked_by_worker
         return [
-            every[worker]
+            workers[worker]
             for worker in sorted(others)
-            if worker in every
-            and every[worker].available
+            if worker in workers
+            and workers[worker].available
             and not step.permits.has_valid_ticket(worker, until)
         ]
 
-    def _ask(self, inquiry: _Batch) -> None:
-        """Ask about some workers; then place on those whose room was kept."""
-        self._note_asking(inquiry, 1)
-        self._tasks.spawn(self._ask_about(inquiry))
+    def _send(self, batch: _Batch) -> None:
+        """Send a request; its reply places tasks on the held capacity."""
+        self._count_call(batch, 1)
+        self._tasks.spawn(self._request_advice(batch))
 
-    def _note_asking(self, inquiry: _Batch, change: int) -> None:
-        step = inquiry.step
+    def _count_call(self, batch: _Batch, change: int) -> None:
+        step = batch.step
         step.permits.calls_in_flight += change
-        self._asking += change
-        if inquiry.first and not step.job.urgent:
-            self._asking_first += change
+        self._calls_in_flight += change
+        if batch.initial and not step.job.urgent:
+            self._initial_calls += change
 
-    async def _ask_about(self, inquiry: _Batch) -> None:
-        step = inquiry.step
-        workers = [tracked.worker for tracked in inquiry.about]
+    async def _request_advice(self, batch: _Batch) -> None:
+        step = batch.step
+        workers = [tracked.worker for tracked in batch.candidates]
         cost = step.job.queue.advice
         assert cost is not None
         duration = cost.duration(len(workers))
-        question = Question(
+        request = AdviceRequest(
             step.key,
             workers,
             duration,
-            inquiry.rank,
-            partial(_waits, step),
+            batch.rank,
+            partial(_has_startable_tasks, step),
         )
         try:
-            with self._state.pending_advice.track(step) as followed:
+            with self._state.pending_advice.track(step) as pending:
                 advice = await self._dispatcher.ask(
-                    question._replace(during_call=followed.during_call),
+                    request._replace(during_call=pending.during_call),
                 )
             if advice is None:
-                await asyncio.sleep(_ADVICE_PAUSE)
+                await asyncio.sleep(_RETRY_PAUSE)
             else:
-                self._learn(step, workers, advice)
+                self._record_advice(step, workers, advice)
         finally:
-            self._note_asking(inquiry, -1)
+            self._count_call(batch, -1)
             if not step.spec.gang or not step.permits.calls_in_flight:
-                self._place_held(step, inquiry.held)
+                self._place_held(step, batch.held)
             self._state.pass_requested.set()
 
-    def _learn(
+    def _record_advice(
         self,
         step: StepState,
         workers: list[WorkerId],
         advice: Advice,
     ) -> None:
-        known = step.permits.checked
-        fresh = [worker for worker in workers if worker not in known]
-        good = sum(worker in advice.ticket_by_worker for worker in fresh)
-        self._approvals.note(step.job.queue.name, good, len(fresh))
+        already_checked = step.permits.checked
+        newly_checked = [
+            worker for worker in workers if worker not in already_checked
+        ]
+        permitted = sum(
+            worker in advice.ticket_by_worker for worker in newly_checked
+        )
+        self._approvals.record(
+            step.job.queue.name, permitted, len(newly_checked)
+        )
         until = self._state.clock() + advice.valid
         step.permits.record_advice(workers, advice.ticket_by_worker, until)
 
-    def _place_held(self, step: StepState, kept: list[TrackedWorker]) -> None:
-        """Place on room that was kept, before a pass gives it to others.
+    def _place_held(
+        self, step: StepState, candidates: list[TrackedWorker]
+    ) -> None:
+        """Place tasks on held capacity before a pass can allocate it to others.
 
-        A wide gang would otherwise lose part of it each time, and its other
-        tickets would run out meanwhile. It waits for the last of its answers.
+        A wide gang would otherwise lose some of it each time, and its other
+        tickets would expire meanwhile. It waits for the last of its replies.
         """
-        held = [tracked for tracked in kept if tracked.release_hold(step.key)]
+        held = [
+            tracked for tracked in candidates if tracked.release_hold(step.key)
+        ]
         now = self._state.clock()
         until = now + TICKET_MARGIN
         usable = [
@@ -241,10 +264,10 @@
             if may_place_on(step, tracked, now)
             and step.permits.has_valid_ticket(tracked.worker, until)
             and tracked.worker in step.permits.permitted
-            # Keeping room does not keep a task of another role away.
+            # A hold does not keep tasks of another QoS class off the worker.
             and may_colocate(step, tracked, now)
         ]
-        # The room was kept for the task whose turn it was.
+        # The capacity is held for the task that has waited longest.
         tasks = self._state.ledger.within_limit(
             step, longest_waiting_first(step.startable())
         )
@@ -257,18 +280,23 @@
             self._runs.launch(step, chosen)
 
 
-def _waits(step: StepState) -> bool:
+def _has_startable_tasks(step: StepState) -> bool:
     """Whether a step still has tasks to place."""
     return bool(step.startable()) and not step.job.ended
 
 
-def _split(
-    about: list[TrackedWorker],
-    most_parts: int,
+def _split_into_calls(
+    candidates: list[TrackedWorker],
+    max_calls: int,
 ) -> list[list[TrackedWorker]]:
-    """Deal workers out to several calls that are worth their while."""
-    return _deal(about, min(math.ceil(len(about) / _LEAST_PART), most_parts))
+    """Split workers over calls, none of which gets too small."""
+    return _split_evenly(
+        candidates,
+        min(math.ceil(len(candidates) / _MIN_WORKERS_PER_CALL), max_calls),
+    )
 
 
-def _deal(about: list[TrackedWorker], parts: int) -> list[list[TrackedWorker]]:
-    return [about[first::parts] for first in range(parts)]
+def _split_evenly(
+    candidates: list[TrackedWorker], calls: int
+) -> list[list[TrackedWorker]]:
+    return [candidates[first::calls] for first in range(calls)]
--- a/orchidrail/shard/approval_rates.py
+++ b/orchidrail/shard/approval_rates.py
@@ -1,4 +1,4 @@
-"""What share of the workers a queue's service approves of, as seen so far."""
+"""Estimates which share of the workers a queue's advice service permits."""
 
 from __future__ import annotations
 
@@ -6,48 +6,52 @@
 
 from orchidrail.types import QueueName
 
-#: Share taken for a queue of which nothing was heard.
-_FIRST_SHARE = 0.5
-#: Answers about single workers that the first share counts as.
-_FIRST_WEIGHT = 8
-#: Answers after which older ones are given half their weight.
-_HALVE_AT = 400
-#: Least share that is reckoned with, so that no question grows without bound.
-_LEAST_SHARE = 0.05
-#: Factor on the number of workers asked about: fewer may be approved of than
-#: the share says, and another round costs a whole call.
-_SPARE = 1.5
+#: Prior estimate for a queue without advice.
+_PRIOR_RATE = 0.5
+#: Weight of the prior, in checked workers.
+_PRIOR_WEIGHT = 8
+#: Number of checked workers above which the weight of older ones is halved.
+_HALVE_ABOVE = 400
+#: Lower bound of the estimate, so that the size of a request stays bounded.
+_MIN_RATE = 0.05
+#: Factor on the number of workers to check: fewer may be permitted than
+#: estimated, and another round costs a whole call.
+_OVERSAMPLING = 1.5
 
 
 class ApprovalRates:
-    """Counts approvals by queue.
+    """Counts checked and permitted workers by queue.
 
     Examples
     --------
     >>> approvals = ApprovalRates()
-    >>> approvals.note(QueueName('q'), good=10, asked=92)
-    >>> approvals.needed(QueueName('q'), workers=4)
+    >>> approvals.record(QueueName('q'), approved=10, asked=92)
+    >>> approvals.workers_to_ask(QueueName('q'), workers=4)
     43
     """
 
     def __init__(self) -> None:
-        """Start without answers."""
-        self._good_by_queue: dict[QueueName, float] = {}
+        """Start without any advice."""
+        self._approved_by_queue: dict[QueueName, float] = {}
         self._asked_by_queue: dict[QueueName, float] = {}
 
-    def note(self, queue: QueueName, good: int, asked: int) -> None:
-        """Take an answer about `asked` workers, `good` of them approved."""
-        goods = self._good_by_queue.get(queue, _FIRST_SHARE * _FIRST_WEIGHT)
-        total = self._asked_by_queue.get(queue, _FIRST_WEIGHT)
-        if total > _HALVE_AT:
-            goods /= 2
-            total /= 2
-        self._good_by_queue[queue] = goods + good
-        self._asked_by_queue[queue] = total + asked
-
-    def needed(self, queue: QueueName, workers: float) -> int:
-        """Return how many workers to ask about so that `workers` are good."""
-        goods = self._good_by_queue.get(queue, _FIRST_SHARE * _FIRST_WEIGHT)
-        total = self._asked_by_queue.get(queue, _FIRST_WEIGHT)
-        share = max(_LEAST_SHARE, goods / total)
-        return math.ceil(_SPARE * workers / share)
+    def record(self, queue: QueueName, approved: int, asked: int) -> None:
+        """Record that `approved` of `asked` workers are permitted."""
+        approved_total = self._approved_by_queue.get(
+            queue, _PRIOR_RATE * _PRIOR_WEIGHT
+        )
+        asked_total = self._asked_by_queue.get(queue, _PRIOR_WEIGHT)
+        if asked_total > _HALVE_ABOVE:
+            approved_total /= 2
+            asked_total /= 2
+        self._approved_by_queue[queue] = approved_total + approved
+        self._asked_by_queue[queue] = asked_total + asked
+
+    def workers_to_ask(self, queue: QueueName, workers: float) -> int:
+        """Return how many workers to check to find `workers` permitted ones."""
+        approved_total = self._approved_by_queue.get(
+            queue, _PRIOR_RATE * _PRIOR_WEIGHT
+        )
+        asked_total = self._asked_by_queue.get(queue, _PRIOR_WEIGHT)
+        rate = max(_MIN_RATE, approved_total / asked_total)
+        return math.ceil(_OVERSAMPLING * workers / rate)
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -1,4 +1,4 @@
-"""The owner of one shard, from take-over until it is replaced."""
+"""The owner of one shard, from takeover until it is replaced."""
 
 from __future__ import annotations
 
@@ -55,22 +55,22 @@
 from orchidrail.workers.port import RunKey, WorkerCalls
 
 _log = structlog.get_logger()
-#: Wait for the journal on behalf of a caller that names no patience.
-_PATIENCE: Seconds = 0.7
-#: Part of a caller's patience in which the refusal gets back to it.
+#: Time budget of a submission whose caller names none.
+_DEFAULT_TIMEOUT: Seconds = 0.7
+#: Part of the time budget that is left for the reply to reach the caller.
 _REPLY_MARGIN: Seconds = 0.1
-#: Bytes that may wait for a journal that is silent; beyond, jobs are refused
-#: at once. It is one append.
+#: Bytes that may be queued while the journal does not respond; beyond it jobs
+#: are rejected at once. This is the size of one append.
 _MAX_UNWRITTEN_BYTES = 1_000_000
-_RESOLVE_EVERY: Seconds = 1.0
+_EXPIRY_TICK: Seconds = 1.0
 
 
-def _unknown() -> None:
-    """Name no services."""
+def _services_unknown() -> None:
+    """Return None: the services are not known."""
 
 
 class OwnerPorts(NamedTuple):
-    """What an owner needs from outside."""
+    """External dependencies of a shard owner."""
 
     worker_view: JournalView
     worker_calls: WorkerCalls
@@ -78,25 +78,25 @@
     ask: CallAdvice
     clock: Callable[[], Seconds]
     wall_clock: Callable[[], Seconds]
-    #: Whether the store answers nobody, so that nobody can take over.
+    #: Whether the store responds to no instance, so that none can take over.
     store_unreachable: Callable[[], bool]
     longest_lease: Seconds
     stop_takes: Seconds
     status_kept: Seconds
     metrics: InstanceMetrics
-    #: Services that run the queues in force; None if that is not known yet.
-    services: Callable[[], Collection[ServiceName] | None] = _unknown
-    #: A tenant as the configuration in force has it.
+    #: Services of the queues currently configured; None if not known yet.
+    services: Callable[[], Collection[ServiceName] | None] = _services_unknown
+    #: Returns a tenant of the current configuration.
     find_tenant: FindTenant = find_no_tenant
 
 
 class ShardOwner:
-    """Decides for one shard while its journal writer is not fenced.
+    """Schedules the jobs of one shard while its journal writer is not fenced.
 
     Parameters
     ----------
     writer : JournalWriter
-        Just taken over.
+        Writer of a journal that has just been taken over.
     ports : OwnerPorts
     """
 
@@ -112,7 +112,7 @@
             ports.metrics,
             ports.find_tenant,
         )
-        self._objections = AdmissionControl(self.state)
+        self._admission = AdmissionControl(self.state)
         self.runs = RunTracker(
             self.state,
             self.resign,
@@ -120,23 +120,25 @@
         )
         self.dispatcher = AdviceDispatcher(ports.ask, ports.clock)
         self.placer = Placer(self.state, self.runs, self.dispatcher)
-        earlier = writer.owner.epoch > 1
-        doubted = prior_leases_end(now, ports.longest_lease) if earlier else 0
+        has_predecessor = writer.owner.epoch > 1
+        prior_leases_until = (
+            prior_leases_end(now, ports.longest_lease) if has_predecessor else 0
+        )
         self._fleet = Fleet(
             self.state,
             self.runs,
             ports.worker_view,
             ports.worker_calls,
             ports.decode_entry,
-            serves=self._serves,
+            serves=self._is_served,
             longest_lease=ports.longest_lease,
-            prior_leases_end=doubted,
+            prior_leases_end=prior_leases_until,
             may_renew=self._may_renew,
         )
         self._restore()
 
     async def run(self) -> None:
-        """Serve until fenced or cancelled."""
+        """Run until fenced or cancelled."""
         async with AsyncExitStack() as stack:
             stack.callback(self.placer.close)
             stack.callback(self.runs.close)
@@ -167,7 +169,7 @@
         _log.info('owner ends', epoch=self.writer.owner.epoch)
 
     def resign(self) -> None:
-        """Stop deciding: somebody else owns the shard."""
+        """Stop scheduling: another instance owns the shard."""
         self.writer.fenced.set()
 
     def find_rejection(
@@ -177,29 +179,29 @@
         spec: JobSpec,
         tenant: Tenant,
     ) -> Rejection | None:
-        """Return why a job is not to be taken, if there is a reason."""
+        """Return why a job is rejected, None if it may be accepted."""
         known = self.job_state(job_id)
         if known is not None:
             return check_known_job(known, tenant)
-        return self._objections.find(queue, spec, tenant)
+        return self._admission.find(queue, spec, tenant)
 
     async def submit(
         self,
         job_id: JobId,
         queue: QueueSettings,
         spec: JobSpec,
-        patience: Seconds = _PATIENCE,
+        time_budget: Seconds = _DEFAULT_TIMEOUT,
         tenant: Tenant = ANONYMOUS_TENANT,
     ) -> bool | None:
         """Accept a job.
 
-        While the journal is silent the job waits to be written for as long as
-        its caller does, so that it is accepted at the journal's return.
+        While the journal does not respond, the job is queued for as long as its
+        caller waits, so that it is accepted once the journal responds again.
 
         Returns
         -------
-        True once it is in the journal, False if it certainly is not and
-        never will be, None if that can't be known here.
+        True once it is in the journal, False if it is not and never will be,
+        None if the outcome is unknown.
         """
         if self.knows(job_id):
             return await self._wait_known(job_id)
@@ -213,25 +215,27 @@
                 trouble=self.writer.last_error,
             )
             return False
-        beyond = not self.state.shares.take(self.state.ledger.current(tenant))
+        over_share = not self.state.shares.take(
+            self.state.ledger.current(tenant)
+        )
         record = JobRecord(
             queue,
             spec,
             self._ports.wall_clock(),
             tenant,
-            beyond,
+            over_share,
         )
         job = Job(job_id, record)
         self.state.job_by_id[job_id] = job
         commit = self.writer.put(job_key(job_id), encode(record))
-        # Its first steps may be placed while it is written: a start waits for
-        # a record of its own, which is never written before the job's.
+        # Its first steps may be placed while it is being written: a start waits
+        # for its own record, which is never written before that of the job.
         self.state.mark_changed(job)
-        # The caller may leave before the answer: this must happen all the same.
+        # A callback, as the caller may disconnect before the reply.
         commit.on_decided(lambda committed: self._accept(job, committed))
         waiting = asyncio.ensure_future(commit.wait())
-        held_for = max(0, patience - _REPLY_MARGIN)
-        done, _ = await asyncio.wait((waiting,), timeout=held_for)
+        wait_time = max(0, time_budget - _REPLY_MARGIN)
+        done, _ = await asyncio.wait((waiting,), timeout=wait_time)
         if not done and self._withdraw(job, commit):
             waiting.cancel()
             return False
@@ -240,9 +244,9 @@
         return None if commit.may_be_written else False
 
     def _withdraw(self, job: Job, commit: Commit) -> bool:
-        """Take back a job that waits behind an append without an answer.
+        """Withdraw a job that is queued behind an append without a response.
 
-        Its caller can then be told at once that it has not run.
+        Its caller then gets a definite rejection: the job has not run.
         """
         if job.ended or commit.may_be_written:
             return False
@@ -277,17 +281,17 @@
         )
 
     def knows(self, job_id: JobId) -> bool:
-        """Whether a job of this id was ever taken."""
+        """Whether a job with this id was accepted or is being written."""
         committed = job_key(job_id) in self.writer.view.value_by_key
         return committed or job_id in self.state.job_by_id
 
     def phase(self, job_id: JobId) -> JobPhase | None:
-        """Return what a caller may be shown, None if there is no such job."""
+        """Return the phase reported to callers, None if there is no job."""
         state = self.job_state(job_id)
         return None if state is None else state.phase
 
     def job_state(self, job_id: JobId) -> StoredState | None:
-        """Return what the journal tells of a job, or is about to tell."""
+        """Return a job's state in the journal, or the one being written."""
         stored = read_state(job_id, self.writer.view.value_by_key)
         job = self.state.job_by_id.get(job_id)
         if stored is not None or job is None:
@@ -295,7 +299,7 @@
         return StoredState(JobPhase.QUEUED, tenant=job.tenant.name)
 
     async def cancel(self, job_id: JobId) -> JobPhase | None:
-        """Cancel a job; return its phase then, None if there is none."""
+        """Cancel a job; return its final phase, None if there is no job."""
         job = self.state.job_by_id.get(job_id)
         if job is None:
             return await self._written_phase(job_id)
@@ -306,24 +310,28 @@
         self.runs.stop_job(job)
         _log.info('job cancelled', job=job_id)
         if not await commit.wait():
-            raise ConnectionAbortedError(f'cancel of {job_id!r} not written')
+            raise ConnectionAbortedError(
+                f'cancellation of job {job_id!r} not written to the journal'
+            )
         return JobPhase.CANCELLED
 
     async def _written_phase(self, job_id: JobId) -> JobPhase | None:
-        """Return the phase of a job that is no longer open here.
+        """Return the phase of a job that is no longer open.
 
-        Its end may still be on its way to the journal, from which the next
-        owner would take the job for open.
+        Its end may not be in the journal yet, in which case the next owner
+        would restore the job as open: flush the journal first.
         """
         phase = self.phase(job_id)
         if phase is None or phase in ENDED_PHASES:
             return phase
         if not await self.writer.flush():
-            raise ConnectionAbortedError(f'end of {job_id!r} not written')
+            raise ConnectionAbortedError(
+                f'end of job {job_id!r} not written to the journal'
+            )
         return self.phase(job_id)
 
     def waiting_by_queue(self) -> Counter[str]:
-        """Count the jobs of each queue none of whose tasks has begun."""
+        """Count the jobs of each queue that have started no task."""
         return Counter(
             job.queue.name
             for job in self.state.job_by_id.values()
@@ -331,11 +339,11 @@
         )
 
     def set_advice_lanes(self, lanes: list[InstanceId]) -> None:
-        """Ask for advice through these machines."""
+        """Request advice through these instances."""
         self.dispatcher.set_advice_lanes(lanes)
 
     def check_connections_soon(self) -> None:
-        """Take that connections to several workers went silent at once."""
+        """Poll the workers soon, as several connections stopped responding."""
         self._fleet.poll_soon()
 
     async def _wait_known(self, job_id: JobId) -> bool | None:
@@ -344,8 +352,8 @@
         await self.writer.flush()
         return job_key(job_id) in self.writer.view.value_by_key or None
 
-    def _serves(self, service: ServiceName) -> bool:
-        """Whether a queue in force, or that of an open job, is run by it."""
+    def _is_served(self, service: ServiceName) -> bool:
+        """Whether a service runs a configured queue or that of an open job."""
         services = self._ports.services()
         if services is None or service in services:
             return True
@@ -362,7 +370,7 @@
     def _restore(self) -> None:
         for stored in read_jobs(self.writer.view.value_by_key):
             if isinstance(stored.record, EndedRecord):
-                self._restore_left(stored.record)
+                self._restore_lingering_runs(stored.record)
                 continue
             job = Job(stored.job_id, stored.record)
             job.restore(stored.progress)
@@ -382,8 +390,8 @@
             epoch=self.writer.owner.epoch,
         )
 
-    def _restore_left(self, ended: EndedRecord) -> None:
-        """Count what may be left of an ended job until its workers are met."""
+    def _restore_lingering_runs(self, ended: EndedRecord) -> None:
+        """Count lingering runs of an ended job until their workers respond."""
         for run in ended.lingering_runs:
             self.state.unresolved_runs.add_lingering(
                 incarnation_id(run.worker, run.born),
@@ -392,9 +400,9 @@
             )
 
     async def _expire_jobs(self) -> None:
-        """Drop ended jobs whose state nobody needs any more."""
+        """Delete the records of ended jobs after their retention period."""
         while True:
-            await asyncio.sleep(_RESOLVE_EVERY * 10)
+            await asyncio.sleep(_EXPIRY_TICK * 10)
             before = self._ports.wall_clock() - 2 * self._ports.status_kept
             for stored in read_jobs(self.writer.view.value_by_key):
                 record = stored.record
--- a/orchidrail/shard/pending_advice.py
+++ b/orchidrail/shard/pending_advice.py
@@ -1,4 +1,4 @@
-"""Questions for advice that have no answer yet, and how long they take."""
+"""Tracks advice requests without a reply, and how long they take."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class AdviceRequestState(Enum):
-    """What a question without an answer waits for."""
+    """What a pending request waits for."""
 
-    #: A lane to be asked through.
+    #: A free lane.
     QUEUED = 'line'
-    #: The answer to a call that is under way.
+    #: The reply to a call in flight.
     IN_FLIGHT = 'call'
 
 
 class PendingAdviceRequest:
-    """One question, from its beginning to its answer.
+    """One advice request until its reply.
 
-    It may be asked again, also beside a call that is late.
+    It may take several calls: retries, and hedged calls beside a slow one.
 
     Parameters
     ----------
@@ -39,10 +39,10 @@
         clock: Callable[[], Seconds],
         metrics: InstanceMetrics,
     ) -> None:
-        """Begin to wait for a lane."""
+        """Start in state `QUEUED`."""
         self.step_key = step.key
         self.since = clock()
-        #: Since when it has its state.
+        #: When it entered its current state.
         self.state_since = self.since
         self._clock = clock
         self._metrics = metrics
@@ -60,26 +60,26 @@
 
     @contextmanager
     def during_call(self) -> Generator[None]:
-        """Count as being asked, and time the wait before and the call.
+        """Track a call in flight; measure its duration and the queue wait.
 
-        A second call beside a late one did not wait for a lane on its own.
+        A hedged call beside a slow one counts no queue wait of its own.
         """
-        began = self._clock()
+        started = self._clock()
         if self.state is AdviceRequestState.QUEUED:
             self._metrics.advice_queue_seconds.labels(self._queue).observe(
-                began - self.state_since,
+                started - self.state_since,
             )
-            self.state_since = began
+            self.state_since = started
         self._calls += 1
         try:
             yield
         finally:
-            self._end_call(began)
+            self._end_call(started)
 
-    def _end_call(self, began: Seconds) -> None:
+    def _end_call(self, started: Seconds) -> None:
         now = self._clock()
         self._metrics.advice_call_seconds.labels(self._queue).observe(
-            now - began
+            now - started
         )
         self._calls -= 1
         if self.state is AdviceRequestState.QUEUED:
@@ -87,7 +87,7 @@
 
 
 class PendingAdviceRequests:
-    """All questions of one shard that have no answer yet.
+    """All advice requests of one shard that have no reply yet.
 
     Parameters
     ----------
@@ -101,33 +101,35 @@
         clock: Callable[[], Seconds],
         metrics: InstanceMetrics,
     ) -> None:
-        """Start without questions."""
+        """Start without requests."""
         self._clock = clock
         self._metrics = metrics
-        #: In order of age.
-        self._open: dict[PendingAdviceRequest, None] = {}
+        #: Oldest first.
+        self._pending: dict[PendingAdviceRequest, None] = {}
 
     @contextmanager
     def track(self, step: StepState) -> Generator[PendingAdviceRequest]:
-        """Follow a question of a step until it is answered or given up."""
-        question = PendingAdviceRequest(step, self._clock, self._metrics)
-        self._open[question] = None
+        """Track a request for a step until its reply or cancellation."""
+        request = PendingAdviceRequest(step, self._clock, self._metrics)
+        self._pending[request] = None
         try:
-            yield question
+            yield request
         finally:
-            self._open.pop(question)
+            self._pending.pop(request)
 
     def oldest_for_step(self, step_key: str) -> PendingAdviceRequest | None:
-        """Return the oldest question of a step, if it has any."""
-        of_step = (one for one in self._open if one.step_key == step_key)
-        return next(of_step, None)
+        """Return the oldest pending request of a step, if any."""
+        matching = (
+            request for request in self._pending if request.step_key == step_key
+        )
+        return next(matching, None)
 
     def longest_queue_wait(self) -> Seconds:
-        """Return how long the oldest one waits for a lane, 0 if none does."""
+        """Return the longest current queue wait, 0 if no request is queued."""
         now = self._clock()
         waits = (
-            now - question.state_since
-            for question in self._open
-            if question.state is AdviceRequestState.QUEUED
+            now - request.state_since
+            for request in self._pending
+            if request.state is AdviceRequestState.QUEUED
         )
         return max(waits, default=0)
--- a/orchidrail/shard/state.py
+++ b/orchidrail/shard/state.py
@@ -1,4 +1,4 @@
-"""What the parts of one shard's owner share."""
+"""State shared by the components of a shard owner."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 _KEY_PARTS = 4
 
 
-def _runs_left(job: Job) -> tuple[LingeringRun, ...]:
-    """Return the runs of a job that may outlast it, for the next owner.
+def _lingering_runs(job: Job) -> tuple[LingeringRun, ...]:
+    """Return the runs of a job that may outlive it, for the next owner.
 
-    It counts them against their tenant's limit until it hears their workers.
+    It counts them against their tenant's limit until their workers respond.
     """
     if not job.tenant.name:
         return ()
@@ -73,7 +73,7 @@
         Seconds since 1970.
     metrics : InstanceMetrics
     find_tenant : callable
-        Returns a tenant as the configuration in force has it.
+        Returns a tenant of the current configuration.
     """
 
     def __init__(
@@ -96,19 +96,19 @@
         self.pending_advice = PendingAdviceRequests(clock, metrics)
         self.job_by_id: dict[JobId, Job] = {}
         self.tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
-        #: Tasks that an earlier owner placed on a worker not yet heard from.
+        #: Runs that a previous owner placed on workers that have not responded.
         self.unresolved_runs = UnresolvedRuns(self.ledger)
         self.speeds = SpeedEstimator()
-        #: Set when something may be placed that could not before.
+        #: Set when tasks may have become placeable.
         self.pass_requested = asyncio.Event()
         self.changed_jobs: set[JobId] = set()
-        #: Set when a worker's life has been found to be over.
+        #: Set when the incarnation of a worker has ended.
         self.incarnation_ended = asyncio.Event()
         self._highest_fence = writer.owner.epoch
         self._fence_commit: Commit | None = None
 
     def find_task(self, key: TaskKey) -> Task | None:
-        """Return the task of a live job, or None."""
+        """Return a task of an open job, None if there is none."""
         parts = key.split('.')
         if len(parts) != _KEY_PARTS:
             return None
@@ -118,22 +118,22 @@
         return job.find_task(int(parts[1]), int(parts[2]), int(parts[3]))
 
     def is_unreachable(self, worker: WorkerId) -> bool:
-        """Whether a worker does not answer, or was never met."""
+        """Whether a worker does not respond or was never contacted."""
         tracked = self.tracked_by_worker.get(worker)
         return tracked is None or not tracked.session.reachable
 
     def save_worker(self, entry: WorkerEntry) -> None:
-        """Put a worker into the journal, for the next owner to look for."""
+        """Write a worker's entry to the journal, for the next owner."""
         key, value = worker_key(entry.name), encode(entry)
         if self.writer.view.value_by_key.get(key) != value:
             self.writer.put(key, value)
 
     async def reserve_fencing_token(self, token: Epoch) -> bool:
-        """Make sure that the next owner's fencing token is above this one.
+        """Record a fencing token, so that the next owner uses a higher one.
 
         Returns
         -------
-        False if another owner has come first, so that it may not be used.
+        False if another owner has taken over; the token must not be used.
         """
         if token > self._highest_fence:
             self._highest_fence = token
@@ -143,26 +143,26 @@
         return await self._fence_commit.wait()
 
     def delete_worker(self, tracked: TrackedWorker) -> None:
-        """Take a worker out of the journal: its life is over."""
+        """Delete a worker from the journal: its incarnation has ended."""
         self.writer.put(worker_key(tracked.entry.name), b'')
         self.speeds.forget(tracked.worker)
 
     def mark_changed(self, job: Job) -> None:
-        """Have the job's steps looked at again."""
+        """Have the steps of a job considered in the next placement pass."""
         self.changed_jobs.add(job.job_id)
         self.pass_requested.set()
 
     def observe_job_duration(self, job: Job) -> None:
-        """Count a job that has ended."""
-        took = self.wall_clock() - job.record.accepted_at
+        """Observe the duration of a job that has ended."""
+        duration = self.wall_clock() - job.record.accepted_at
         self.metrics.job_seconds.labels(
             self.metrics.tenant_label(job.tenant.name),
             self.metrics.queue_label(job.queue.name),
             job.phase.name.lower(),
-        ).observe(max(0, took))
+        ).observe(max(0, duration))
 
     def save(self, job: Job) -> Commit:
-        """Put the job's progress, or its end, into the journal."""
+        """Write the progress of a job, or its end, to the journal."""
         if not job.ended:
             rows = Progress(job.rows())
             return self.writer.put(progress_key(job.job_id), encode(rows))
@@ -172,7 +172,7 @@
             job.queue.name,
             job.cause,
             job.tenant,
-            _runs_left(job),
+            _lingering_runs(job),
         )
         self.writer.put(progress_key(job.job_id), b'')
         return self.writer.put(job_key(job.job_id), encode(record))
--- a/orchidrail/shard/stored_state.py
+++ b/orchidrail/shard/stored_state.py
@@ -1,4 +1,4 @@
-"""What a journal tells of one job, to whoever asks."""
+"""State of a job as recorded in the journal."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 
 
 class StoredState(NamedTuple):
-    """A job's state.
+    """State of a job that is reported to callers.
 
     Parameters
     ----------
     phase : JobPhase
     cause : FailureCause
-        Why it was given up, if it was.
+        Why it failed, `FailureCause.NONE` if it did not.
     tenant : str
-        Whose it is, empty for nobody's in particular.
+        Its tenant, empty for the anonymous tenant.
     """
 
     phase: JobPhase
@@ -31,10 +31,10 @@
     tenant: TenantId = TenantId('')
 
     def visible_to(self, tenant: TenantId) -> bool:
-        """Whether somebody may be told of the job.
+        """Whether a tenant may see the job.
 
-        Jobs accepted before there were tenants are everybody's; `tenant` is
-        empty for who may ask for any.
+        Jobs of the anonymous tenant, as those accepted by versions without
+        tenants, are visible to all. An empty `tenant` may see all jobs.
         """
         return not tenant or not self.tenant or tenant == self.tenant
 
@@ -43,13 +43,13 @@
     job_id: JobId,
     value_by_key: dict[str, bytes],
 ) -> StoredState | None:
-    """Return a job's state as a journal has it, None if it has no such job."""
+    """Return the recorded state of a job, None if there is no such job."""
     if job_key(job_id) not in value_by_key:
         return None
     stored = read_job(job_id, value_by_key)
     record = stored.record
     if isinstance(record, EndedRecord):
         return StoredState(record.phase, record.cause, record.tenant.name)
-    begun = stored.progress.rows
-    phase = JobPhase.RUNNING if begun else JobPhase.QUEUED
+    started = stored.progress.rows
+    phase = JobPhase.RUNNING if started else JobPhase.QUEUED
     return StoredState(phase, tenant=record.tenant.name)
--- a/orchidrail/shard/tests/test_job_tenancy.py
+++ b/orchidrail/shard/tests/test_job_tenancy.py
@@ -1,4 +1,4 @@
-"""Whose job it is: kept over owners and versions, and told to nobody else."""
+"""Tests that jobs belong to one tenant, across owners and versions."""
 
 from __future__ import annotations
 
@@ -68,7 +68,7 @@
     array_like=True,
     tag='open',
 ):
-    """What the version before the tenants writes and reads."""
+    """Job record of the version without tenants."""
 
     queue: QueueSettings
     spec: JobSpec
@@ -81,7 +81,7 @@
     array_like=True,
     tag='ended',
 ):
-    """The same of a job that has ended."""
+    """Record of an ended job of that version."""
 
     phase: JobPhase
     ended_at: float
@@ -89,7 +89,7 @@
     cause: str = ''
 
 
-class WhoseJobTest(AsyncTestCase):
+class JobTenancyTest(AsyncTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.store = MemoryStore()
@@ -106,7 +106,7 @@
         scenario: Callable[[ShardOwner], Awaitable[None]],
         *tenants: Tenant,
     ) -> None:
-        """Run a scene beside the owner."""
+        """Run a scenario beside the owner."""
 
         async def run() -> None:
             owner = await self.take_ownership(0, *tenants)
@@ -137,7 +137,7 @@
         )
         return (await self.ask(owner, message)).code
 
-    def test_a_job_is_told_to_its_tenant_only(self) -> None:
+    def test_job_is_visible_to_its_tenant_only(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.assertIs(WorkCode.OK, await self.submit(owner, _STORES))
             for name, code in (
@@ -151,7 +151,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_is_cancelled_by_its_tenant_only(self) -> None:
+    def test_job_can_be_cancelled_by_its_tenant_only(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             message = CancelWork(job_id=_JOB, tenant=_BUYERS.name)
@@ -164,7 +164,7 @@
 
         self.run_scenario(scenario)
 
-    def test_one_id_sent_by_two_tenants_is_the_first_one_s_job(self) -> None:
+    def test_job_id_used_by_two_tenants_belongs_to_the_first(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             for tenant, code in (
@@ -178,7 +178,7 @@
 
         self.run_scenario(scenario)
 
-    def test_the_next_owner_knows_whose_it_is(self) -> None:
+    def test_next_owner_restores_the_tenant_of_a_job(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             following = await self.take_ownership(1)
@@ -186,7 +186,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_tenant_that_has_left_keeps_the_limit_that_it_had(self) -> None:
+    def test_limit_of_a_removed_tenant_still_applies(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.submit(owner, _STORES)
             step = owner.state.job_by_id[_JOB].steps(0)[0]
@@ -195,7 +195,7 @@
 
         self.run_scenario(scenario)
 
-    def test_what_never_fits_its_tenant_is_refused_at_once(self) -> None:
+    def test_job_above_its_tenants_limit_is_rejected_at_once(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             code = await self.submit(owner, _STORES)
             self.assertIs(WorkCode.NEVER_FITS, code)
@@ -204,7 +204,9 @@
         small = Tenant(_STORES.name, 2, Size(1999, 0))
         self.run_scenario(scenario, small)
 
-    def test_runs_of_an_ended_job_count_until_they_are_over(self) -> None:
+    def test_lingering_runs_of_an_ended_job_count_against_the_limit(
+        self,
+    ) -> None:
         left = LingeringRun(
             TaskKey(f'{_JOB}.0.0.1'),
             RunNumber(1),
@@ -232,14 +234,14 @@
         self.run_scenario(scenario)
 
 
-class VersionsTest(AsyncTestCase):
-    def test_records_of_the_version_before_are_nobody_s(self) -> None:
+class RecordCompatibilityTest(AsyncTestCase):
+    def test_records_of_the_previous_version_have_no_tenant(self) -> None:
         old = encode(_OldJobRecord(_QUEUE, _SPEC, 5))
         self.assertEqual(JobRecord(_QUEUE, _SPEC, 5), decode_job(old))
         ended = encode(_OldEndedRecord(JobPhase.FAILED, 5))
         self.assertEqual(EndedRecord(JobPhase.FAILED, 5), decode_job(ended))
 
-    def test_the_version_before_reads_our_records(self) -> None:
+    def test_previous_version_reads_current_records(self) -> None:
         decoder = msgspec.msgpack.Decoder(_OldJobRecord | _OldEndedRecord)
         record = JobRecord(_QUEUE, _SPEC, 5, _STORES, True)
         old = decoder.decode(encode(record))
--- a/orchidrail/shard/tests/test_owner.py
+++ b/orchidrail/shard/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner promises about jobs."""
+"""Tests of the guarantees of a shard owner for jobs."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
     def run_scenario(
         self, scenario: Callable[[ShardOwner], Awaitable[None]]
     ) -> None:
-        """Run a scene beside the owner."""
+        """Run a scenario beside the owner."""
 
         async def run() -> None:
             owner = await self.take_ownership(0)
@@ -75,7 +75,7 @@
 
         self.run_async(run())
 
-    def test_a_caller_that_leaves_does_not_strand_its_job(self) -> None:
+    def test_job_is_scheduled_if_its_caller_disconnects(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             submitting = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
             await asyncio.sleep(0)
@@ -86,7 +86,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_is_looked_at_while_it_is_written(self) -> None:
+    def test_job_is_considered_for_placement_while_being_written(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             submitting = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
@@ -98,7 +98,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_that_was_not_sent_is_withdrawn(self) -> None:
+    def test_unsent_job_is_withdrawn(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             patient = owner.submit(_JOB, _QUEUE, _SPEC, 3)
@@ -115,7 +115,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_that_the_store_refused_is_withdrawn(self) -> None:
+    def test_job_rejected_by_the_store_is_withdrawn(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             submitting = owner.submit(_JOB, _QUEUE, _SPEC, 0.4)
@@ -127,7 +127,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_that_may_be_written_is_not_denied(self) -> None:
+    def test_job_with_an_unknown_append_outcome_is_not_rejected(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.SWALLOWS
             submitting = asyncio.create_task(
@@ -140,12 +140,12 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_that_a_next_owner_lacks_was_not_taken(self) -> None:
+    def test_job_unknown_to_the_next_owner_is_rejected(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             first = asyncio.create_task(owner.submit(_JOB, _QUEUE, _SPEC))
             await asyncio.sleep(0.1)
-            # The next owner is faster than the owner's next try.
+            # The next owner takes over before the owner retries its append.
             view = owner.writer.view
             async with view.lock:
                 self.store.fault = None
@@ -155,7 +155,7 @@
 
         self.run_scenario(scenario)
 
-    def test_leases_are_renewed_while_nobody_can_have_taken_over(self) -> None:
+    def test_leases_are_renewed_while_no_takeover_is_possible(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             owner.writer.confirmed_at -= 6
@@ -167,7 +167,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_is_accepted_once(self) -> None:
+    def test_job_submitted_twice_is_accepted_once(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             outcomes = await asyncio.gather(
                 owner.submit(_JOB, _QUEUE, _SPEC),
@@ -178,7 +178,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_is_refused_while_the_journal_is_silent(self) -> None:
+    def test_job_is_rejected_while_the_journal_does_not_respond(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             self.store.fault = StoreFault.REFUSES
             owner.writer.confirmed_at -= 2
@@ -189,7 +189,7 @@
 
         self.run_scenario(scenario)
 
-    def test_the_next_owner_knows_what_was_accepted(self) -> None:
+    def test_next_owner_restores_accepted_jobs(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             other = JobId('f' * 16)
@@ -202,7 +202,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_cancel_that_is_repeated_waits_for_the_journal_too(self) -> None:
+    def test_repeated_cancellation_waits_for_the_journal(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             self.store.fault = StoreFault.REFUSES
@@ -217,7 +217,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_cancel_that_is_not_written_is_not_acknowledged(self) -> None:
+    def test_unwritten_cancellation_is_not_acknowledged(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await owner.submit(_JOB, _QUEUE, _SPEC)
             self.store.fault = StoreFault.REFUSES
--- a/orchidrail/shard/tests/test_pending_advice.py
+++ b/orchidrail/shard/tests/test_pending_advice.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of questions for advice that have no answer yet."""
+"""Tests of the tracking of advice requests without a reply."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from orchidrail.metrics import InstanceMetrics
 from orchidrail.shard.advice_dispatcher import AdviceDispatcher
-from orchidrail.shard.advice_queue import Question
+from orchidrail.shard.advice_queue import AdviceRequest
 from orchidrail.shard.pending_advice import (
     AdviceRequestState,
     PendingAdviceRequests,
@@ -21,7 +21,7 @@
 _SHORT = 0.01
 
 
-class OpenQuestionsTest(AsyncTestCase):
+class PendingAdviceTest(AsyncTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.now: Seconds = 10
@@ -44,16 +44,16 @@
         return await self.calls[-1]
 
     def set_advice_lanes(self, lanes: int) -> None:
-        """Let so many questions be asked at a time."""
+        """Set the number of lanes."""
         self.dispatcher.set_advice_lanes(
             [InstanceId(f'lane-{one}') for one in range(lanes)]
         )
 
     async def ask(self, step: StepState) -> asyncio.Task[None]:
-        asking = asyncio.create_task(self._follow(step))
+        pending = asyncio.create_task(self._follow(step))
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        return asking
+        return pending
 
     async def answer(self, number: int, advice: Advice | None) -> None:
         self.calls[number].set_result(advice)
@@ -66,11 +66,11 @@
         )
         return found or 0
 
-    def age(
+    def oldest_request(
         self,
         step: StepState,
     ) -> tuple[Seconds, AdviceRequestState, Seconds] | None:
-        """Return how old a step's oldest question is, and its state."""
+        """Return the age, state and time in state of the oldest request."""
         found = self.questions.oldest_for_step(step.key)
         if found is None:
             return None
@@ -81,84 +81,90 @@
         )
 
     async def _follow(self, step: StepState) -> None:
-        with self.questions.track(step) as followed:
-            question = Question(step.key, [], _SHORT, (1,))
+        with self.questions.track(step) as pending:
+            request = AdviceRequest(step.key, [], _SHORT, (1,))
             await self.dispatcher.ask(
-                question._replace(during_call=followed.during_call),
+                request._replace(during_call=pending.during_call),
             )
 
-    def test_a_question_waits_for_a_lane_then_for_its_answer(self) -> None:
+    def test_request_is_queued_then_in_flight(self) -> None:
         async def scenario() -> None:
             step = make_step(StepSpec(1))
-            asking = await self.ask(step)
+            pending = await self.ask(step)
             self.now += 3
-            self.assertEqual((3, AdviceRequestState.QUEUED, 3), self.age(step))
+            self.assertEqual(
+                (3, AdviceRequestState.QUEUED, 3), self.oldest_request(step)
+            )
             self.assertEqual(3, self.questions.longest_queue_wait())
             self.set_advice_lanes(1)
             await asyncio.sleep(_SHORT)
             self.now += 2
             self.assertEqual(
-                (5, AdviceRequestState.IN_FLIGHT, 2), self.age(step)
+                (5, AdviceRequestState.IN_FLIGHT, 2), self.oldest_request(step)
             )
             self.assertEqual(0, self.questions.longest_queue_wait())
             await self.answer(0, Advice({}, 1))
-            await asking
-            self.assertIsNone(self.age(step))
+            await pending
+            self.assertIsNone(self.oldest_request(step))
             self.assertEqual(3, self.sample('advice_line_seconds_sum'))
             self.assertEqual(2, self.sample('advice_call_seconds_sum'))
 
         self.run_async(scenario())
 
-    def test_a_call_without_answer_puts_the_question_back_in_line(self) -> None:
+    def test_failed_call_returns_the_request_to_the_queue(self) -> None:
         async def scenario() -> None:
             step = make_step(StepSpec(1))
             self.set_advice_lanes(1)
-            asking = await self.ask(step)
+            pending = await self.ask(step)
             await asyncio.sleep(_SHORT)
             self.now += 2
-            # The lane rests for a second, by the loop's clock.
+            # The lane is in backoff for 1 s of the event loop's clock.
             await self.answer(0, None)
             self.now += 4
-            self.assertEqual((6, AdviceRequestState.QUEUED, 4), self.age(step))
+            self.assertEqual(
+                (6, AdviceRequestState.QUEUED, 4), self.oldest_request(step)
+            )
             self.assertEqual(4, self.questions.longest_queue_wait())
-            asking.cancel()
-            await asyncio.gather(asking, return_exceptions=True)
-            self.assertIsNone(self.age(step))
+            pending.cancel()
+            await asyncio.gather(pending, return_exceptions=True)
+            self.assertIsNone(self.oldest_request(step))
             self.assertEqual(1, self.sample('advice_call_seconds_count'))
 
         self.run_async(scenario())
 
-    def test_a_second_call_beside_a_late_one_is_no_wait_for_a_lane(
+    def test_hedged_call_counts_no_queue_wait(
         self,
     ) -> None:
         async def scenario() -> None:
             step = make_step(StepSpec(1))
             self.set_advice_lanes(2)
-            asking = await self.ask(step)
+            pending = await self.ask(step)
             await asyncio.sleep(0.3)
             self.assertEqual(2, len(self.calls))
             self.now += 1
             self.assertEqual(
-                (1, AdviceRequestState.IN_FLIGHT, 1), self.age(step)
+                (1, AdviceRequestState.IN_FLIGHT, 1), self.oldest_request(step)
             )
             await self.answer(1, Advice({}, 1))
-            await asking
-            self.assertIsNone(self.age(step))
+            await pending
+            self.assertIsNone(self.oldest_request(step))
             await self.answer(0, None)
             self.assertEqual(1, self.sample('advice_line_seconds_count'))
             self.assertEqual(2, self.sample('advice_call_seconds_count'))
 
         self.run_async(scenario())
 
-    def test_the_oldest_question_of_a_step_is_told(self) -> None:
+    def test_oldest_request_of_a_step_is_returned(self) -> None:
         async def scenario() -> None:
             step = make_step(StepSpec(1))
-            asking = [await self.ask(step)]
+            pending = [await self.ask(step)]
             self.now += 1
-            asking.append(await self.ask(step))
-            self.assertEqual((1, AdviceRequestState.QUEUED, 1), self.age(step))
-            for one in asking:
+            pending.append(await self.ask(step))
+            self.assertEqual(
+                (1, AdviceRequestState.QUEUED, 1), self.oldest_request(step)
+            )
+            for one in pending:
                 one.cancel()
-            await asyncio.gather(*asking, return_exceptions=True)
+            await asyncio.gather(*pending, return_exceptions=True)
 
         self.run_async(scenario())
--- a/orchidrail/shard/tests/test_resubmission.py
+++ b/orchidrail/shard/tests/test_resubmission.py
@@ -1,13 +1,11 @@
-"""A job that was withdrawn, and is handed in again under its id.
-
-Seen: a job that its caller was told is accepted was shown as cancelled from the
-same moment on, though nobody had cancelled it. How it came about: the journal
-was silent, so its first submission was withdrawn and refused; the caller came
-back as the journal did. Cause: the first submission's start, which had waited
-for the journal too, found a run of its own name on its worker, that of the
-second, took it for its own, and wrote the end of the withdrawn job under the id
-that both have. What proved it: the owner's lines name two placements of run 1,
-and `job over` as cancelled with the age of the first; this scene repeats it.
+"""Test of a job that is withdrawn and then submitted again under the same id.
+
+Guards against a resubmitted job that is reported as cancelled right after it
+was accepted. While the journal does not respond, the first submission is
+withdrawn and rejected; the second is accepted when the journal responds again.
+The start of the first submission, which had also waited for the journal, must
+not take the run of the second for its own, as both have the same run key, and
+must not write the end of the withdrawn job under the shared id.
 """
 
 from __future__ import annotations
@@ -24,8 +22,8 @@
 _PATIENCE = 0.4
 
 
-class SubmittedAgainTest(FleetTestCase):
-    def test_what_was_withdrawn_ends_nothing(self) -> None:
+class ResubmissionTest(FleetTestCase):
+    def test_withdrawn_submission_does_not_end_its_resubmission(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             spec = JobSpec('text', (StepSpec(1),))
             queue = make_job(StepSpec(1)).queue
