--- a/orchidrail/access/__init__.py
+++ b/orchidrail/access/__init__.py
@@ -1,4 +1,4 @@
-"""Who calls, and how often: bearer keys by digest, and token buckets."""
+"""Access control: bearer keys by digest, and rate limits."""
 
 from orchidrail.access.keys import (
     KeyRing,
--- a/orchidrail/access/keys.py
+++ b/orchidrail/access/keys.py
@@ -1,4 +1,4 @@
-"""Tenants by their bearer keys, of which only digests are kept."""
+"""Bearer keys of tenants, stored as digests only."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def digest_of(key: str) -> str:
-    """Return the digest by which a bearer key is known.
+    """Return the digest that is stored for a bearer key.
 
     Examples
     --------
@@ -27,12 +27,12 @@
 
 
 def make_bearer_key() -> str:
-    """Return a new bearer key."""
+    """Return a new random bearer key."""
     return secrets.token_urlsafe(_KEY_BYTES)
 
 
 def bearer_key(authorization: str) -> str | None:
-    """Return the key of an ``Authorization`` header, if it bears one.
+    """Return the bearer key of an ``Authorization`` header, if any.
 
     Examples
     --------
@@ -46,7 +46,7 @@
 
 
 class KeyRing(msgspec.Struct, frozen=True):
-    """The keys that one configuration knows.
+    """The bearer keys of one configuration.
 
     Parameters
     ----------
@@ -62,10 +62,10 @@
     tenant_by_digest: dict[str, TenantId] = {}
 
     def identify(self, authorization: str) -> TenantId | None:
-        """Return the tenant of an ``Authorization`` header, if it has one.
+        """Return the tenant of an ``Authorization`` header, if any.
 
-        Looked up is a digest, no part of which a caller can choose, so how long
-        that takes tells nothing of the keys that are known.
+        Keys are looked up by digest, which a caller cannot choose, so the time
+        of a lookup reveals nothing about the valid keys.
         """
         key = bearer_key(authorization)
         if key is None:
--- a/orchidrail/access/rates.py
+++ b/orchidrail/access/rates.py
@@ -1,4 +1,4 @@
-"""How often something may happen."""
+"""Rate limiting."""
 
 from __future__ import annotations
 
@@ -20,23 +20,23 @@
         self.rate = rate
         self._burst = burst
         self._tokens = burst
-        self._filled_at: Seconds | None = None
+        self._refilled_at: Seconds | None = None
 
     def take(self, now: Seconds) -> bool:
-        """Take one token; return False if there is none."""
-        self._fill(now)
+        """Take one token; return False if the bucket is empty."""
+        self._refill(now)
         if self._tokens < 1:
             return False
         self._tokens -= 1
         return True
 
     def ready_in(self, now: Seconds) -> Seconds:
-        """Return after how many seconds there is a token, 0 if there is one."""
-        self._fill(now)
+        """Return the seconds until a token is available, 0 if one is."""
+        self._refill(now)
         return max(0, 1 - self._tokens) / self.rate
 
-    def _fill(self, now: Seconds) -> None:
-        if self._filled_at is not None:
-            earned = (now - self._filled_at) * self.rate
+    def _refill(self, now: Seconds) -> None:
+        if self._refilled_at is not None:
+            earned = (now - self._refilled_at) * self.rate
             self._tokens = min(self._burst, self._tokens + earned)
-        self._filled_at = now
+        self._refilled_at = now
--- a/orchidrail/work/failed_workers.py
+++ b/orchidrail/work/failed_workers.py
@@ -1,12 +1,12 @@
-"""Workers on which tasks of one step failed, and for how long they are avoided.
-
-A worker may be broken and fail all that it starts, so a step's tasks go
-elsewhere first. But most failures are the task's own, and the other workers may
-hold as many of the step's tasks as they may for as long as those run. So a
-failure speaks against a worker for a while only: what has to be started is
-started again, on whatever worker has room, before it has stood still for long.
-A worker on which job after job fails gets no work at all for a while, by its
-standing.
+"""Workers on which tasks of one step failed, avoided for a short time.
+
+A worker may be broken and fail all that it starts, so the tasks of the step are
+placed on other workers first. But most failures are caused by the task itself,
+and the other workers may already run as many tasks of the step as they are
+allowed to. So a worker is avoided only for a short time: a failed task is
+restarted on any worker with free capacity before it is stalled for long.
+A worker on which many jobs fail gets no work at all for a while, as it is
+quarantined.
 """
 
 from __future__ import annotations
@@ -16,26 +16,26 @@
 
 from orchidrail.types import Seconds, WorkerId
 
-#: How long a worker is avoided after a failure. A task may stand still for 3 s,
-#: a question for a new ticket among that; the same after each failure, since
-#: others of its step may wait for each worker that is left out.
-_AVOIDED_FOR: Seconds = 1.0
-#: Time after which a failure says nothing any more of the worker.
-_FORGOTTEN_AFTER: Seconds = 30.0
+#: How long a worker is avoided after a failure. A task may be stalled for 3 s,
+#: including an advice request for a new ticket. It does not grow with repeated
+#: failures, since other tasks of the step may be waiting for an avoided worker.
+_AVOIDANCE_DURATION: Seconds = 1.0
+#: Time after which a failure is no longer counted.
+_FAILURE_TTL: Seconds = 30.0
 
 
 class _Failures(NamedTuple):
-    """What is held against one worker."""
+    """Failures of a step's tasks on one worker."""
 
     times: int
     last_at: Seconds
 
 
-_NOTHING = _Failures(0, -math.inf)
+_NO_FAILURES = _Failures(0, -math.inf)
 
 
 class FailedWorkers:
-    """What failures of a step's tasks say of the workers, and until when.
+    """Counts the failures of a step's tasks by worker.
 
     Examples
     --------
@@ -52,21 +52,21 @@
     """
 
     def __init__(self) -> None:
-        """Hold nothing against anyone."""
+        """Start without failures."""
         self._failures_by_worker: dict[WorkerId, _Failures] = {}
 
     def __bool__(self) -> bool:
-        """Whether tasks failed anywhere."""
+        """Whether any failure is counted."""
         return bool(self._failures_by_worker)
 
     def note_failure(self, worker: WorkerId, now: Seconds) -> None:
-        """Take that a task failed on a worker, or stood still there."""
+        """Record that a task failed on a worker or was stalled there."""
         count = self.count(worker) + 1
         self._failures_by_worker[worker] = _Failures(count, now)
 
     def forget_old(self, now: Seconds) -> None:
-        """Forget what was long ago."""
-        before = now - _FORGOTTEN_AFTER
+        """Drop failures that are too old to count."""
+        before = now - _FAILURE_TTL
         self._failures_by_worker = {
             worker: failures
             for worker, failures in self._failures_by_worker.items()
@@ -74,10 +74,10 @@
         }
 
     def avoids(self, worker: WorkerId, now: Seconds) -> bool:
-        """Whether tasks go to other workers for now."""
-        failures = self._failures_by_worker.get(worker, _NOTHING)
-        return now < failures.last_at + _AVOIDED_FOR
+        """Whether a worker is to be avoided at present."""
+        failures = self._failures_by_worker.get(worker, _NO_FAILURES)
+        return now < failures.last_at + _AVOIDANCE_DURATION
 
     def count(self, worker: WorkerId) -> int:
-        """Return how many failures speak against a worker."""
-        return self._failures_by_worker.get(worker, _NOTHING).times
+        """Return the number of counted failures on a worker."""
+        return self._failures_by_worker.get(worker, _NO_FAILURES).times
--- a/orchidrail/work/job.py
+++ b/orchidrail/work/job.py
@@ -1,7 +1,7 @@
-"""A job as its shard's owner sees it: rounds of steps of tasks.
+"""State of an open job: rounds, each of which runs the steps of the job.
 
-The job is one aggregate. Callers tell it what was placed and what ended; it
-tells what may start next and when it is over. It does no I/O.
+A job is one aggregate without I/O. Callers report placements and the ends of
+runs; it returns which steps may start next and whether the job has ended.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 from orchidrail.work.wait_times import WaitTimes
 from orchidrail.workers.port import RunEnding
 
-#: Suspicion from which a task is given up, and its job with it.
+#: Suspicion at which a task, and its job with it, fails permanently.
 SUSPICION_LIMIT = 8
-_ENDINGS_THAT_COUNT = frozenset((RunEnding.FAILED,))
+_COUNTED_ENDINGS = frozenset((RunEnding.FAILED,))
 
 
 class Job:
@@ -38,65 +38,65 @@
     ----------
     job_id : str
     record : JobRecord
-        What the journal keeps of it.
+        Its record in the journal.
     """
 
     def __init__(self, job_id: JobId, record: JobRecord) -> None:
-        """Start with nothing placed."""
+        """Start without placed tasks."""
         self.job_id = job_id
         self.record = record
         self.phase = JobPhase.QUEUED
         self.cause = FailureCause.NONE
         self.started = False
-        #: Whether the journal is known to have the job.
+        #: Whether the job is known to be in the journal.
         self.accepted = False
-        #: The longest of its runs that went well, in seconds, and where.
+        #: Duration of its longest successful run in seconds, and its worker.
         self.longest_run: Seconds = 0
         self.longest_run_worker = WorkerId('')
-        #: What its tasks waited for, to explain later why it was late.
+        #: Wait times of its tasks by reason, to explain delays.
         self.wait_times = WaitTimes()
-        #: Every worker that a task was ever given to.
+        #: All workers on which a task was ever placed.
         self.workers: set[WorkerId] = set()
         self._steps_by_round: dict[int, list[StepState]] = {}
 
     @property
     def spec(self) -> JobSpec:
-        """What the caller asked for."""
+        """Specification by the caller."""
         return self.record.spec
 
     @property
     def queue(self) -> QueueSettings:
-        """Settings of its queue when it was accepted."""
+        """Settings of its queue at the time of acceptance."""
         return self.record.queue
 
     @property
     def tenant(self) -> Tenant:
-        """For whom it is run, as that was when it was accepted."""
+        """Its tenant, as configured at the time of acceptance."""
         return self.record.tenant
 
     @property
     def urgent(self) -> bool:
-        """Whether its queue goes before all others."""
+        """Whether its queue has the highest priority."""
         return self.queue.priority == 0
 
     @property
     def ended(self) -> bool:
-        """Whether nothing more is to run."""
+        """Whether no task is to run any more."""
         return self.phase in ENDED_PHASES
 
     def steps(self, round_number: int) -> list[StepState]:
-        """Return the steps of a round, made when first asked for."""
-        made = self._steps_by_round.get(round_number)
-        if made is None:
-            made = [
+        """Return the steps of a round, created on first access."""
+        round_steps = self._steps_by_round.get(round_number)
+        if round_steps is None:
+            round_steps = [
                 StepState(self, round_number, number)
                 for number in range(len(self.spec.steps))
             ]
-            self._steps_by_round[round_number] = made
-        return made
+            self._steps_by_round[round_number] = round_steps
+        return round_steps
 
     def open_steps(self, now: Seconds) -> Iterator[StepState]:
-        """Yield the steps whose turn has come by wall clock `now`."""
+        """Yield the unfinished steps that are ready at wall clock `now`."""
         for round_number in range(self.spec.rounds):
             if self.spec.due(round_number) > now:
                 return
@@ -112,7 +112,7 @@
 
         Returns
         -------
-        Seconds since 1970, infinite if no round is still to come.
+        Seconds since 1970, infinite if no round is left.
         """
         spec = self.spec
         if not spec.repeats:
@@ -132,7 +132,7 @@
         step: int,
         index: int,
     ) -> Task | None:
-        """Return a task by its numbers, or None if the job has none such."""
+        """Return a task by its indices, None if the job has no such task."""
         if not 0 <= round_number < self.spec.rounds:
             return None
         if not 0 <= step < len(self.spec.steps):
@@ -141,7 +141,7 @@
         return tasks[index] if 0 <= index < len(tasks) else None
 
     def place(self, task: Task, run: RunNumber, worker: WorkerId) -> None:
-        """Note that a run of a task is given to a worker."""
+        """Record that a run of a task is placed on a worker."""
         task.phase = TaskPhase.PLACED
         task.waiting_since = None
         task.run = run
@@ -158,11 +158,11 @@
         ending: RunEnding,
         checkpoint: str,
     ) -> None:
-        """Note how a run ended.
+        """Record how a run ended.
 
-        A newer run than is known was started by an earlier owner that could
-        not write it down. Its runs may end in any order here, and each failure
-        counts, but none of a run that was given up.
+        A run newer than the latest known one was started by a previous owner
+        that could not write it to the journal. The ends of its runs may arrive
+        in any order. Each failure counts once, unless the run was abandoned.
         """
         if task.phase is TaskPhase.DONE or run < task.first_open_run:
             return
@@ -179,15 +179,16 @@
         task.processed_runs.add(run)
         if latest:
             task.phase = TaskPhase.WAITING
-        if ending in _ENDINGS_THAT_COUNT:
+        if ending in _COUNTED_ENDINGS:
             self._count_failure(task, run)
 
     def note_crash(self, task: Task, run: RunNumber, suspicion: int) -> bool:
-        """Note that a worker ended under a run; tell whether that counted.
+        """Record that a worker crashed during a run; return whether it counts.
 
-        Of a gang only the member there is suspected: a wide one with none to
-        blame loses another member each time. Unlike attempts this counts for
-        lasting tasks too: the workers that they end are gone for all.
+        Of a gang, only the member on that worker is suspected: a wide gang
+        without fault loses a different member each time. Unlike failed
+        attempts, crashes count for long-running tasks too, as a crashed worker
+        is lost to all jobs.
         """
         if task.phase is not TaskPhase.PLACED or task.run != run:
             return False
@@ -196,34 +197,34 @@
         task.crashes += 1
         task.suspicion += suspicion
         if task.suspicion >= SUSPICION_LIMIT:
-            self._give_up(FailureCause.CRASHED_WORKERS)
+            self._fail(FailureCause.CRASHED_WORKERS)
         return True
 
     def retract_crash(self, task: Task, suspicion: int) -> None:
-        """Take back a crash of a worker that has turned out to be alive."""
+        """Retract a crash, as the worker has turned out to be alive."""
         task.crashes -= 1
         task.suspicion = max(0, task.suspicion - suspicion)
 
     def note_run(self, took: Seconds, worker: WorkerId) -> None:
-        """Note how long a run took, to explain later what held the job up."""
+        """Record the duration of a run, to explain delays of the job."""
         if took > self.longest_run:
             self.longest_run = took
             self.longest_run_worker = worker
 
     def failures(self) -> int:
-        """Return how many runs of its tasks failed."""
+        """Return the number of failed runs over all tasks."""
         return sum(row.failures for row in self.rows())
 
     def crashes(self) -> int:
-        """Return how many workers ended under the worst of its tasks."""
+        """Return the largest number of workers that one task has crashed."""
         return max((row.crashes for row in self.rows()), default=0)
 
     def placed_on(self) -> set[WorkerId]:
-        """Return the workers that its tasks were given to."""
+        """Return the workers on which its tasks are placed."""
         return {task.worker for task in self.placed_tasks()}
 
     def placed_tasks(self) -> list[Task]:
-        """Return the tasks that are given to workers."""
+        """Return the tasks that are placed on workers."""
         steps = itertools.chain.from_iterable(self._steps_by_round.values())
         return [
             task
@@ -233,12 +234,12 @@
         ]
 
     def rows(self) -> list[TaskRow]:
-        """Return the tasks that have left their first state."""
+        """Return the records of the tasks that have been placed before."""
         steps = itertools.chain.from_iterable(self._steps_by_round.values())
         return [task.row() for step in steps for task in step.tasks if task.run]
 
     def restore(self, progress: Progress) -> None:
-        """Take what the journal kept of the job's progress."""
+        """Restore the progress that is recorded in the journal."""
         for row in progress.rows:
             task = self.find_task(row.round_number, row.step, row.index)
             if task is not None:
@@ -261,15 +262,15 @@
             return
         step.failed_runs.add(run)
         members = step.tasks if step.spec.gang else [task]
-        counted = max(member.failures for member in members) + 1
+        failure_count = max(member.failures for member in members) + 1
         for member in members:
-            member.failures = counted
+            member.failures = failure_count
         if task.step.spec.lasting:
             return
-        if counted >= self.queue.max_attempts:
-            self._give_up(FailureCause.ATTEMPTS)
+        if failure_count >= self.queue.max_attempts:
+            self._fail(FailureCause.ATTEMPTS)
 
-    def _give_up(self, cause: FailureCause) -> None:
+    def _fail(self, cause: FailureCause) -> None:
         self.phase = JobPhase.FAILED
         self.cause = cause
 
--- a/orchidrail/work/model.py
+++ b/orchidrail/work/model.py
@@ -1,4 +1,4 @@
-"""What callers ask for, and the settings of the queue that takes it."""
+"""Job specifications of callers, and the configuration of the cell."""
 
 from __future__ import annotations
 
@@ -25,35 +25,37 @@
     count : int
         Tasks in the step.
     size : Size
-        Room for each task.
+        Resources allocated to each task.
     estimate : float
-        The caller's rough guess of a task's run time, seconds.
+        The caller's rough estimate of a task's run time, seconds.
     after : tuple of int
-        Steps all of whose tasks must have succeeded before.
+        Indices of the steps that must have succeeded before.
     keeps_checkpoint : bool
-        Whether a stopped run can be resumed from what it saved.
+        Whether a stopped run can be resumed from its checkpoint.
     gang : bool
-        Tasks start together under one run number and end together.
+        Whether the tasks start together under one run number and end together.
     one_rack : bool
-        Slower when spread over several racks.
+        Whether the tasks are slower when spread over several racks.
     label : str
         Label that a worker must have, empty for any.
     data_rack : str
         Rack that holds the step's data, empty for none.
     most_per_worker : int
-        Limit of tasks on one worker, 0 for none.
+        Largest number of tasks on one worker, 0 for no limit.
     speculative : bool
-        Copies may run side by side.
+        Whether copies of a task may run in parallel.
     lasting : bool
-        Tasks run until the job is cancelled.
+        Whether the tasks run until the job is cancelled.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of one image behave alike.
     target : float
-        Seconds that the tail of a lasting task's answers should stay under.
+        Upper target of the tail response time of a long-running task, seconds.
     best_effort : bool
-        The task uses processor time that others leave, and is not counted.
+        Whether a task only uses processor time that others leave unused, for
+        which it is not charged.
     may_miss : int
-        Lasting tasks that the system may take away at one time.
+        Largest number of long-running tasks that may be unavailable at a time
+        because the scheduler stopped them.
     """
 
     count: int
@@ -75,7 +77,7 @@
 
     @property
     def charged(self) -> Size:
-        """The room that a task takes from its worker's books."""
+        """Resources that a task is charged for on its worker."""
         return (
             Size(0, self.size.megabytes, self.size.accelerators)
             if (self.best_effort)
@@ -84,7 +86,7 @@
 
 
 def concurrent_size(step: StepSpec) -> Size:
-    """Return the least of a step that runs at one time.
+    """Return the least amount of resources with which a step can run.
 
     Examples
     --------
@@ -96,19 +98,19 @@
 
 
 class JobSpec(msgspec.Struct, frozen=True, array_like=True):
-    """A job as its caller handed it in.
+    """A job as submitted by its caller.
 
     Parameters
     ----------
     text : str
-        Passed to the workers as it is.
+        Passed to the workers unchanged.
     steps : tuple of StepSpec
     repeats : int
-        Times that the steps run at set times; 0 for once, now.
+        Number of scheduled rounds; 0 for one immediate round.
     first_at : float
-        Wall clock of the first time, seconds since 1970.
+        Wall clock time of the first round, seconds since 1970.
     interval : float
-        Seconds between the times.
+        Time between rounds, seconds.
     """
 
     text: str
@@ -119,52 +121,52 @@
 
     @property
     def rounds(self) -> int:
-        """How often the steps run in all."""
+        """Total number of rounds."""
         return max(1, self.repeats)
 
     def due(self, round_number: int) -> Seconds:
-        """Return the wall clock from which a round may start."""
+        """Return the earliest start of a round, wall clock seconds."""
         if not self.repeats:
             return 0
         return self.first_at + round_number * self.interval
 
 
 class AdviceCost(msgspec.Struct, frozen=True, array_like=True):
-    """What a call for advice takes and for how long its tickets hold."""
+    """Duration of an advice call and validity of its tickets, seconds."""
 
     base: Seconds
     per_worker: Seconds
     valid: Seconds
 
     def duration(self, workers: int) -> Seconds:
-        """Return how long a call about so many workers takes."""
+        """Return the expected duration of a call for so many workers."""
         return self.base + self.per_worker * workers
 
 
 class QueueSettings(msgspec.Struct, frozen=True, array_like=True):
-    """How the jobs of one queue are taken and run.
+    """How the jobs of one queue are accepted and run.
 
     Parameters
     ----------
     name : str
     host, path_prefix : str
-        Which requests belong to the queue.
+        Requests to this host and path prefix belong to the queue.
     service : str
-        Whose workers run the tasks.
+        Service whose workers run the tasks.
     priority : int
-        0 goes first.
+        0 is the highest.
     max_attempts : int
-        Failed runs of one task after which its job has failed.
+        Number of failed runs of one task after which its job fails.
     stretch : float
-        The objective is this many times the longest chain of work ...
+        The duration objective is this multiple of the critical path ...
     target : float
         ... plus this many seconds.
     timeout : float
-        Longest time that a caller's request may take, seconds.
+        Timeout of a caller's request, seconds.
     advice : AdviceCost, optional
-        Given if the service must be asked which workers may run a step.
+        Set if the advice service decides which workers may run a step.
     public : bool
-        Whether callers need no key though the cell has tenants.
+        Whether callers need no key even if the cell has tenants.
     """
 
     name: QueueName
@@ -181,7 +183,7 @@
 
 
 class IngressLimits(msgspec.Struct, frozen=True, array_like=True):
-    """Limits on callers' requests: bytes and seconds."""
+    """Limits on requests of callers, in bytes and seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 262144
@@ -190,12 +192,12 @@
 
 
 class CellConfig(msgspec.Struct, frozen=True, array_like=True):
-    """The operator's configuration, whole, at one version.
+    """One version of the complete configuration of the operator.
 
     Parameters
     ----------
     keys : KeyRing, optional
-        Of callers; None where the cell has no tenants.
+        Keys of the callers; None if the cell has no tenants.
     """
 
     version: int = 0
@@ -209,7 +211,7 @@
         queue: QueueSettings,
         authorization: str,
     ) -> Tenant | None:
-        """Return for whom a call to a queue is, None if its key is unknown."""
+        """Return the tenant of a request, None if its key is unknown."""
         if self.keys is None:
             return ANONYMOUS_TENANT
         name = self.keys.identify(authorization)
@@ -218,7 +220,7 @@
         return ANONYMOUS_TENANT if queue.public else None
 
     def find_queue(self, host: str, path: str) -> QueueSettings | None:
-        """Return the queue with the longest prefix of `path` at `host`."""
+        """Return the queue at `host` with the longest matching path prefix."""
         matching = [
             queue
             for queue in self.queues
@@ -232,10 +234,10 @@
 
 
 class MemberInfo(msgspec.Struct, frozen=True, array_like=True):
-    """One running process of the system.
+    """One running instance.
 
-    `incarnation` differs for each life of a process of the same name; `speed`
-    compares the processors of their machines, in cores.
+    `incarnation` differs after each restart of an instance of the same name;
+    `speed` compares the processors of the instances, in cores.
     """
 
     name: InstanceId
--- a/orchidrail/work/permits.py
+++ b/orchidrail/work/permits.py
@@ -1,4 +1,4 @@
-"""Which workers may run a step, as far as its service has said."""
+"""Which workers may run a step, according to the advice service."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Permits:
-    """What is known of who may run one step.
+    """The checked and permitted workers of one step, and their tickets.
 
-    Whether a worker may run a step never changes; its ticket runs out.
+    Whether a worker is permitted never changes, but its ticket expires.
     """
 
     def __init__(self) -> None:
-        """Know nothing."""
-        #: Workers of which the service has said whether they may run it.
+        """Start without checked workers."""
+        #: Workers on which the service has given advice.
         self.checked: set[WorkerId] = set()
-        #: Those of them that may.
+        #: Checked workers that may run the step.
         self.permitted: set[WorkerId] = set()
         self.ticket_by_worker: dict[WorkerId, str] = {}
         self.valid_until_by_worker: dict[WorkerId, Seconds] = {}
-        #: Calls about the step that are under way.
+        #: Advice requests for the step without a reply.
         self.calls_in_flight = 0
 
     def record_advice(
@@ -28,7 +28,7 @@
         ticket_by_worker: dict[WorkerId, str],
         valid_until: Seconds,
     ) -> None:
-        """Take the answer to a question about the workers `asked`."""
+        """Record the reply to a request about the workers `asked`."""
         self.checked.update(asked)
         self.permitted.update(ticket_by_worker)
         for worker, ticket in ticket_by_worker.items():
@@ -36,9 +36,9 @@
             self.valid_until_by_worker[worker] = valid_until
 
     def has_valid_ticket(self, worker: WorkerId, now: Seconds) -> bool:
-        """Whether the worker's ticket still holds."""
+        """Whether a worker's ticket is valid at `now`."""
         return self.valid_until_by_worker.get(worker, 0) > now
 
     def drop_ticket(self, worker: WorkerId) -> None:
-        """Forget a ticket that was refused."""
+        """Drop a ticket that was rejected."""
         self.valid_until_by_worker.pop(worker, None)
--- a/orchidrail/work/records.py
+++ b/orchidrail/work/records.py
@@ -1,4 +1,4 @@
-"""What is kept of a job in the shard's journal, and its encoding."""
+"""Records of jobs in the journal of a shard, and their encoding."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
 from orchidrail.work.size import Size
 from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 
-#: Key of the record that names the shard's owner. It sorts behind all others,
-#: so that it can be listed alone, after `BEFORE_OWNER_KEY`.
+#: Key of the record of the shard's owner. It sorts after all others, so that it
+#: can be listed alone, starting after `BEFORE_OWNER_KEY`.
 OWNER_KEY = 'z-owner'
 BEFORE_OWNER_KEY = 'z'
-#: Key of the highest fencing token in use, where that is above the owner's
-#: epoch: the next owner's must be higher still.
+#: Key of the highest fencing token in use, if above the epoch of the owner: the
+#: next owner must use a higher one.
 FENCE_KEY = 'f'
 _JOB_PREFIX = 'j'
 _PROGRESS_PREFIX = 'p'
@@ -34,7 +34,7 @@
 
 
 class JobPhase(IntEnum):
-    """State of a job; the numbers are those of the journal."""
+    """State of a job; the values are stored in the journal."""
 
     QUEUED = 0
     RUNNING = 1
@@ -49,26 +49,26 @@
 
 
 class TaskPhase(IntEnum):
-    """State of a task; the numbers are those of the journal."""
+    """State of a task; the values are stored in the journal."""
 
     WAITING = 0
-    #: Given to a worker; it may be on its way, running or just over.
+    #: Assigned to a worker; it may be starting, running or just ended.
     PLACED = 1
     DONE = 2
 
 
 class FailureCause(Enum):
-    """Why a job was given up; the words are those of the journal."""
+    """Why a job failed; the values are stored in the journal."""
 
     NONE = ''
-    #: A task failed as often as its queue allows.
+    #: A task reached the maximum number of attempts of its queue.
     ATTEMPTS = 'attempts'
-    #: A task ended the workers that started it.
+    #: A task crashed the workers that ran it.
     CRASHED_WORKERS = 'crashedWorkers'
 
 
 class OwnerRecord(msgspec.Struct, frozen=True, array_like=True):
-    """Who owns the shard; `epoch` fences all orders of earlier owners."""
+    """The owner of the shard; `epoch` fences off orders of previous owners."""
 
     holder: InstanceId
     incarnation: str
@@ -77,29 +77,29 @@
 
 
 class JobRecord(msgspec.Struct, frozen=True, array_like=True, tag='open'):
-    """An accepted job; `accepted_at` is wall clock, seconds."""
+    """An accepted job; `accepted_at` is wall clock, seconds since 1970."""
 
     queue: QueueSettings
     spec: JobSpec
     accepted_at: Seconds
-    #: For whom it is run, as its share and limit were at that time; nobody in
-    #: journals of versions without tenants.
+    #: Its tenant with the share and limit at that time; the anonymous tenant
+    #: in journals of versions without tenants.
     tenant: Tenant = ANONYMOUS_TENANT
-    #: Whether it is beyond what its tenant is owed.
+    #: Whether it was submitted over the fair share of its tenant.
     over_share: bool = False
 
 
 class LingeringRun(NamedTuple):
-    """A run that was being stopped when its job ended.
+    """A run that may still have been stopping when its job ended.
 
     Parameters
     ----------
     task : str
     run : int
     size : Size
-        What it takes of its tenant's limit.
+        What it counts against its tenant's limit.
     worker, born :
-        Where, as in `TaskRow`.
+        Worker incarnation that runs it, as in `TaskRow`.
     """
 
     task: TaskKey
@@ -110,19 +110,19 @@
 
 
 class EndedRecord(msgspec.Struct, frozen=True, array_like=True, tag='ended'):
-    """A job that has ended; `ended_at` is wall clock, seconds."""
+    """A job that has ended; `ended_at` is wall clock, seconds since 1970."""
 
     phase: JobPhase
     ended_at: Seconds
     queue: str = ''
     cause: FailureCause = FailureCause.NONE
     tenant: Tenant = ANONYMOUS_TENANT
-    #: Runs of it that may still have been there at its end.
+    #: Its runs that may still have been stopping at its end.
     lingering_runs: tuple[LingeringRun, ...] = ()
 
 
 class TaskRow(msgspec.Struct, array_like=True):
-    """A task that is no longer in its first state."""
+    """A task that has been placed at least once."""
 
     round_number: int
     step: int
@@ -132,16 +132,16 @@
     worker: WorkerName = WorkerName('')
     failures: int = 0
     checkpoint: str = ''
-    #: Workers that ended under it, and how far that speaks against it.
+    #: Workers that crashed while running it, and the resulting suspicion.
     crashes: int = 0
     suspicion: int = 0
-    #: Which life of the worker has it; None where the worker doesn't tell, and
-    #: in journals of older versions.
+    #: Incarnation of the worker that runs it; None if the worker does not
+    #: report it, and in journals of older versions.
     born: int | None = None
 
 
 class Progress(msgspec.Struct, array_like=True):
-    """How far a job has come: its tasks that have left their first state."""
+    """Progress of a job: its tasks that have been placed at least once."""
 
     rows: list[TaskRow]
 
@@ -164,7 +164,7 @@
 
 
 def job_key(job_id: JobId) -> str:
-    """Return the journal's key of a job.
+    """Return the journal key of a job.
 
     Examples
     --------
@@ -175,17 +175,17 @@
 
 
 def progress_key(job_id: JobId) -> str:
-    """Return the journal's key of a job's progress."""
+    """Return the journal key of a job's progress."""
     return f'{_PROGRESS_PREFIX}{job_id}'
 
 
 def worker_key(name: WorkerName) -> str:
-    """Return the journal's key of a worker that the owner deals with."""
+    """Return the journal key of a worker's entry."""
     return f'{_WORKER_PREFIX}{name}'
 
 
 def worker_values(value_by_key: dict[str, bytes]) -> list[bytes]:
-    """Return the entries of the workers that a journal names, encoded."""
+    """Return the encoded entries of the workers in a journal."""
     return [
         raw
         for key, raw in value_by_key.items()
@@ -211,6 +211,8 @@
         If the journal has no such job.
     """
     record = decode_job(value_by_key[job_key(job_id)])
-    kept = value_by_key.get(progress_key(job_id))
-    progress = Progress([]) if kept is None else decode_progress(kept)
+    raw_progress = value_by_key.get(progress_key(job_id))
+    progress = (
+        Progress([]) if raw_progress is None else decode_progress(raw_progress)
+    )
     return StoredJob(job_id, record, progress)
--- a/orchidrail/work/size.py
+++ b/orchidrail/work/size.py
@@ -1,4 +1,4 @@
-"""Amounts of room that workers have and tasks need."""
+"""Resource amounts of workers and tasks."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Size(NamedTuple):
-    """Room in whole units, so that sums are exact.
+    """Resource amounts in integral units, so that sums are exact.
 
     Parameters
     ----------
@@ -44,7 +44,7 @@
         )
 
     def fits(self, room: Size) -> bool:
-        """Tell whether each component is at most that of `room`."""
+        """Whether each component is at most that of `room`."""
         return (
             self.millicores <= room.millicores
             and self.megabytes <= room.megabytes
@@ -52,7 +52,7 @@
         )
 
     def copies_in(self, room: Size) -> int:
-        """Return how many of this size `room` holds together.
+        """Return how many copies of this size fit into `room`.
 
         Examples
         --------
@@ -64,13 +64,13 @@
             for part, whole in zip(self, room, strict=True)
             if part > 0
         ]
-        return max(0, min(counts, default=_UNLIMITED))
+        return max(0, min(counts, default=_UNLIMITED_COPIES))
 
 
 def half_is_free(used: Size, whole: Size) -> bool:
-    """Whether less than half of each kind of room is in use.
+    """Whether less than half of each resource is in use.
 
-    Kinds of which there is none don't count.
+    Resources with a capacity of 0 are ignored.
 
     Examples
     --------
@@ -80,11 +80,11 @@
     False
     """
     return all(
-        _HALVES * part < most
-        for part, most in zip(used, whole, strict=True)
-        if most
+        _HALVES * part < capacity
+        for part, capacity in zip(used, whole, strict=True)
+        if capacity
     )
 
 
-#: Copies of a task that asks for nothing at all that one worker may get.
-_UNLIMITED = 1000
+#: Copies per worker of a task that requests no resources.
+_UNLIMITED_COPIES = 1000
--- a/orchidrail/work/step.py
+++ b/orchidrail/work/step.py
@@ -1,4 +1,4 @@
-"""A step of a job and its tasks: what is placed, and what is known of it."""
+"""State of the steps of a job and their tasks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from orchidrail.work.job import Job
 
-#: Suspicion of crashing workers from which a task is tried apart from others.
+#: Suspicion of crashing workers from which a task is retried in isolation.
 _SUSPECTED_AT = 2
 
 
@@ -38,7 +38,7 @@
     )
 
     def __init__(self, step: StepState, index: int) -> None:
-        """Start in the first state."""
+        """Start waiting, without any run."""
         self.step = step
         self.index = index
         self.phase = TaskPhase.WAITING
@@ -46,28 +46,28 @@
         self.worker = WorkerId('')
         self.failures = 0
         self.checkpoint = ''
-        #: Workers that ended under it, and how far that speaks against it.
+        #: Workers that crashed while running it, and the resulting suspicion.
         self.crashes = 0
         self.suspicion = 0
-        #: Runs whose ends were taken, or that were given up.
+        #: Runs whose ends have been processed, or that were abandoned.
         self.processed_runs: set[RunNumber] = set()
-        #: Since when it could be placed, on its owner's steady clock.
+        #: Since when it has been ready, on the monotonic clock of the owner.
         self.waiting_since: Seconds | None = None
-        #: Earlier runs ended under an owner before, which judged them.
+        #: The ends of earlier runs were processed by a previous owner.
         self.first_open_run = RunNumber(0)
 
     @property
     def key(self) -> TaskKey:
-        """The task's name at the workers."""
+        """Key of the task on the workers."""
         return TaskKey(f'{self.step.key}.{self.index}')
 
     @property
     def suspected(self) -> bool:
-        """Whether it may be what ends its workers."""
+        """Whether it is suspected of crashing its workers."""
         return self.suspicion >= _SUSPECTED_AT
 
     def row(self) -> TaskRow:
-        """Return what the journal keeps of the task."""
+        """Return the record of the task for the journal."""
         name, born = split_incarnation_id(self.worker)
         return TaskRow(
             self.step.round_number,
@@ -84,7 +84,7 @@
         )
 
     def restore(self, row: TaskRow) -> None:
-        """Take what the journal kept."""
+        """Restore the state recorded in the journal."""
         self.phase = TaskPhase(row.phase)
         self.run = row.run
         self.worker = incarnation_id(row.worker, row.born)
@@ -92,22 +92,22 @@
         self.checkpoint = row.checkpoint
         self.crashes = row.crashes
         self.suspicion = row.suspicion
-        judged = self.phase is not TaskPhase.PLACED
-        self.first_open_run = RunNumber(row.run + 1) if judged else row.run
+        processed = self.phase is not TaskPhase.PLACED
+        self.first_open_run = RunNumber(row.run + 1) if processed else row.run
 
 
 def _waiting_since(task: Task) -> Seconds:
-    """Return since when a task waits; it may not have been noted yet."""
+    """Return since when a task waits, infinite if not recorded yet."""
     return math.inf if task.waiting_since is None else task.waiting_since
 
 
 def longest_waiting_first(tasks: list[Task]) -> list[Task]:
-    """Return tasks in the order of their turn, the longest wait first."""
+    """Return the tasks sorted by wait time, the longest first."""
     return sorted(tasks, key=_waiting_since)
 
 
 class StepState:
-    """One step in one round of a job: the unit that is placed."""
+    """One step in one round of a job: the unit of placement."""
 
     def __init__(self, job: Job, round_number: int, number: int) -> None:
         """Start with all tasks waiting."""
@@ -117,16 +117,17 @@
         self.spec: StepSpec = job.spec.steps[number]
         self.key = f'{job.job_id}.{round_number}.{number}'
         self.tasks = [Task(self, index) for index in range(self.spec.count)]
-        #: Gang runs whose failure was counted; members share them.
+        #: Gang runs whose failure was counted once for all members.
         self.failed_runs: set[RunNumber] = set()
         self.permits = Permits()
-        #: Since when the first of its tasks waits, as the last pass that looked
-        #: for its turn has noted it, on its owner's steady clock.
+        #: Since when the first of its tasks has been waiting, as recorded by
+        #: the last pass that checked whether the step is ready, on the
+        #: monotonic clock of the owner.
         self.recorded_waiting_since: Seconds | None = None
-        #: When its tenant's limit last kept a task of it from starting, on its
-        #: owner's steady clock.
+        #: When the limit of its tenant last prevented a task from starting, on
+        #: the monotonic clock of the owner.
         self.limit_reached_at: Seconds = -math.inf
-        #: Workers on which its tasks failed; others are tried first.
+        #: Workers on which its tasks failed; other workers are preferred.
         self.failed_workers = FailedWorkers()
 
     @property
@@ -137,9 +138,9 @@
     def startable(self) -> list[Task]:
         """Return the tasks that may be started now; of a gang all or none.
 
-        Of tasks that last, those that have waited longest come first: where
-        fewer workers are permitted than there are tasks, those with low numbers
-        would else be back each time before the others have their turn.
+        Long-running tasks are sorted by wait time, the longest first: if there
+        are fewer permitted workers than tasks, those with low indices would
+        otherwise be restarted each time and starve the others.
         """
         waiting = [
             task for task in self.tasks if task.phase is TaskPhase.WAITING
@@ -149,7 +150,7 @@
         return longest_waiting_first(waiting) if self.spec.lasting else waiting
 
     def waiting_since(self) -> Seconds | None:
-        """Return since when the first of its tasks that may start waits."""
+        """Return since when the first startable task has been waiting."""
         since = (
             task.waiting_since
             for task in self.startable()
@@ -158,7 +159,7 @@
         return min(since, default=None)
 
     def interrupted_since(self) -> Seconds | None:
-        """Return since when a task that lasts, and was at work, waits."""
+        """Return since when a long-running task has been interrupted."""
         if not self.spec.lasting:
             return None
         since = (
@@ -169,11 +170,11 @@
         return min(since, default=None)
 
     def next_run(self, tasks: list[Task]) -> RunNumber:
-        """Return a run number above all that were used by `tasks`."""
+        """Return a run number above those used by `tasks`."""
         return RunNumber(max(task.run for task in tasks) + 1)
 
     def checkpoint_for(self, task: Task) -> str:
-        """Return what a new run resumes from; a gang shares one."""
+        """Return the checkpoint to resume from; a gang shares one."""
         if not self.spec.gang:
             return task.checkpoint
         return max(member.checkpoint for member in self.tasks)
--- a/orchidrail/work/tenant.py
+++ b/orchidrail/work/tenant.py
@@ -1,4 +1,4 @@
-"""For whom jobs are run, and how much of the cell each may use."""
+"""Tenants and their shares and limits."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from orchidrail.types import TenantId
 from orchidrail.work.size import Size
 
-#: Tasks that a limit leaves room for where it doesn't bound them at all.
-_UNLIMITED = 1_000_000_000
+#: Number of tasks within a limit that does not bound them.
+_UNLIMITED_TASKS = 1_000_000_000
 
 
 class Tenant(msgspec.Struct, frozen=True, array_like=True):
@@ -17,12 +17,12 @@
     Parameters
     ----------
     name : str
-        Empty for nobody in particular: where callers need no key.
+        Empty for the anonymous tenant, whose callers need no key.
     weight : float
-        Its share when all is full, against the weights of the others; also the
-        jobs a second that it is owed.
+        Its fair share under full load, relative to the weights of the others;
+        also its fair share of accepted jobs, per second.
     maximum : Size
-        The most that it may have running; a component of 0 is not limited.
+        Limit of the resources that it may use; a component of 0 is unlimited.
 
     Examples
     --------
@@ -39,22 +39,22 @@
 
     @property
     def limited(self) -> bool:
-        """Whether anything bounds what it may have running."""
+        """Whether any resource is limited."""
         return any(self.maximum)
 
     def count_within_limit(self, used: Size, size: Size) -> int:
-        """Return how many more tasks may run beside what it uses."""
+        """Return how many tasks fit within the limit beside what is used."""
         counts = [
-            (most - taken) // part
-            for most, taken, part in zip(self.maximum, used, size, strict=True)
-            if most and part
+            (limit - taken) // part
+            for limit, taken, part in zip(self.maximum, used, size, strict=True)
+            if limit and part
         ]
-        return max(0, min(counts, default=_UNLIMITED))
+        return max(0, min(counts, default=_UNLIMITED_TASKS))
 
     def ever_fits(self, size: Size) -> bool:
-        """Whether so much may run for it when nothing else does."""
+        """Whether the limit allows this size with nothing else running."""
         return self.count_within_limit(Size(), size) > 0
 
 
-#: Whose jobs are those of callers that need no key.
+#: Tenant of the jobs of callers that need no key.
 ANONYMOUS_TENANT = Tenant()
--- a/orchidrail/work/tests/test_job.py
+++ b/orchidrail/work/tests/test_job.py
@@ -1,4 +1,4 @@
-"""Tests of the job aggregate."""
+"""Tests of the job state machine."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 class JobTest(TestCase):
-    def test_a_step_waits_for_those_before_it(self) -> None:
+    def test_step_waits_for_the_steps_it_depends_on(self) -> None:
         job = make_job(StepSpec(2), StepSpec(1, after=(0,)))
         first = next(job.open_steps(0))
         self.assertEqual(0, first.number)
@@ -63,7 +63,7 @@
         job.end_run(first.tasks[1], first.tasks[1].run, RunEnding.DONE, '')
         self.assertEqual([1], [step.number for step in job.open_steps(0)])
 
-    def test_it_is_completed_when_all_tasks_are(self) -> None:
+    def test_job_is_completed_when_all_tasks_are(self) -> None:
         job = make_job(StepSpec(1))
         step = next(job.open_steps(0))
         place_all(step)
@@ -88,7 +88,7 @@
         job.end_run(task, task.run, RunEnding.FAILED, '')
         self.assertEqual(JobPhase.FAILED, job.phase)
 
-    def test_an_end_that_is_listed_twice_counts_once(self) -> None:
+    def test_end_reported_twice_counts_once(self) -> None:
         job = make_job(StepSpec(1), attempts=2)
         step = next(job.open_steps(0))
         place_all(step)
@@ -97,7 +97,7 @@
         job.end_run(task, task.run, RunEnding.FAILED, '')
         self.assertEqual(1, task.failures)
 
-    def test_the_end_of_an_older_run_changes_nothing(self) -> None:
+    def test_end_of_an_older_run_is_ignored(self) -> None:
         job = make_job(StepSpec(1))
         step = next(job.open_steps(0))
         place_all(step)
@@ -108,7 +108,7 @@
         job.end_run(task, old, RunEnding.DONE, '')
         self.assertIs(TaskPhase.PLACED, task.phase)
 
-    def test_a_gang_starts_whole_and_ends_with_one(self) -> None:
+    def test_gang_starts_as_a_whole_and_completes_with_one_task(self) -> None:
         job = make_job(StepSpec(3, gang=True))
         step = next(job.open_steps(0))
         self.assertEqual(3, len(step.startable()))
@@ -119,7 +119,7 @@
         job.end_run(step.tasks[1], step.tasks[1].run, RunEnding.DONE, '')
         self.assertEqual(JobPhase.COMPLETED, job.phase)
 
-    def test_a_gangs_failure_counts_once_a_run(self) -> None:
+    def test_gang_failure_counts_once_per_run(self) -> None:
         job = make_job(StepSpec(2, gang=True), attempts=2)
         step = next(job.open_steps(0))
         place_all(step)
@@ -128,7 +128,7 @@
         self.assertEqual({1}, {task.failures for task in step.tasks})
         self.assertEqual(JobPhase.RUNNING, job.phase)
 
-    def test_the_lasting_task_that_has_waited_longest_is_started_first(
+    def test_long_running_task_waiting_longest_starts_first(
         self,
     ) -> None:
         step = next(make_job(StepSpec(3, lasting=True)).open_steps(0))
@@ -137,7 +137,7 @@
         ordered = [task.index for task in step.startable()]
         self.assertEqual([1, 0, 2], ordered)
 
-    def test_a_lasting_task_starts_again_for_ever(self) -> None:
+    def test_long_running_task_is_always_restarted(self) -> None:
         job = make_job(StepSpec(1, lasting=True), attempts=1)
         step = next(job.open_steps(0))
         task = step.tasks[0]
@@ -147,13 +147,13 @@
         self.assertEqual([task], step.startable())
         self.assertEqual(JobPhase.RUNNING, job.phase)
 
-    def test_rounds_fall_due_at_their_times(self) -> None:
+    def test_rounds_are_due_at_their_scheduled_times(self) -> None:
         job = make_job(StepSpec(1), repeats=3)
         self.assertEqual([], list(job.open_steps(99)))
         rounds = [step.round_number for step in job.open_steps(111)]
         self.assertEqual([0, 1], rounds)
 
-    def test_progress_survives_the_journal(self) -> None:
+    def test_progress_is_restored_from_the_journal(self) -> None:
         steps = StepSpec(3, size=Size(5)), StepSpec(1, after=(0,))
         job = make_job(*steps)
         first = next(job.open_steps(0))
@@ -165,7 +165,7 @@
         self.assertEqual(job.rows(), restored.rows())
         self.assertEqual(JobPhase.RUNNING, restored.phase)
 
-    def test_failures_under_an_earlier_owner_count_in_any_order(self) -> None:
+    def test_failures_under_a_previous_owner_count_in_any_order(self) -> None:
         job = make_job(StepSpec(1))
         row = TaskRow(0, 0, 0, TaskPhase.PLACED, RunNumber(1), _WORKER)
         job.restore(Progress([row]))
@@ -175,7 +175,7 @@
         job.end_run(task, RunNumber(1), RunEnding.FAILED, '')
         self.assertIs(JobPhase.FAILED, job.phase)
 
-    def test_the_failure_of_a_run_that_was_given_up_does_not_count(
+    def test_failure_of_an_abandoned_run_does_not_count(
         self,
     ) -> None:
         job = make_job(StepSpec(1))
@@ -186,7 +186,7 @@
         job.end_run(task, RunNumber(1), RunEnding.FAILED, '')
         self.assertEqual(0, task.failures)
 
-    def test_an_end_judged_by_an_earlier_owner_is_not_counted_again(
+    def test_end_processed_by_a_previous_owner_is_not_counted_again(
         self,
     ) -> None:
         job = make_job(StepSpec(1))
--- a/orchidrail/work/tests/test_records.py
+++ b/orchidrail/work/tests/test_records.py
@@ -1,7 +1,6 @@
-"""Tests of the journal's records beside those of older versions.
+"""Tests of the compatibility of journal records between versions.
 
-While all instances are replaced in turn, owners of both versions follow one
-another on one journal.
+During a rolling upgrade, owners of both versions alternate on one journal.
 """
 
 from __future__ import annotations
@@ -16,10 +15,10 @@
 from orchidrail.workers.port import WorkerEntry
 from orchidrail.workers.tests.fakes import make_entry
 
-_LIFE = WorkerId('w-1@1712345678901')
+_INCARNATION_ID = WorkerId('w-1@1712345678901')
 
 
-class _OlderRow(msgspec.Struct, array_like=True):
+class _OldTaskRow(msgspec.Struct, array_like=True):
     round_number: int
     step: int
     index: int
@@ -32,11 +31,11 @@
     suspicion: int = 0
 
 
-class _OlderProgress(msgspec.Struct, array_like=True):
-    rows: list[_OlderRow]
+class _OldProgress(msgspec.Struct, array_like=True):
+    rows: list[_OldTaskRow]
 
 
-class _OlderEntry(msgspec.Struct):
+class _OldWorkerEntry(msgspec.Struct):
     worker: str
 
 
@@ -45,25 +44,25 @@
         super().setUp()
         self.job = make_job(StepSpec(1))
         task = self.job.steps(0)[0].tasks[0]
-        self.job.place(task, RunNumber(3), _LIFE)
+        self.job.place(task, RunNumber(3), _INCARNATION_ID)
         self.raw = encode(Progress(self.job.rows()))
 
-    def test_the_life_that_has_a_run_is_kept(self) -> None:
+    def test_incarnation_of_a_run_is_restored(self) -> None:
         restored = make_job(StepSpec(1))
         restored.restore(decode_progress(self.raw))
-        self.assertEqual(_LIFE, restored.steps(0)[0].tasks[0].worker)
+        self.assertEqual(_INCARNATION_ID, restored.steps(0)[0].tasks[0].worker)
 
-    def test_an_older_version_reads_the_name(self) -> None:
-        rows = msgspec.msgpack.decode(self.raw, type=_OlderProgress).rows
+    def test_older_version_reads_the_worker_name(self) -> None:
+        rows = msgspec.msgpack.decode(self.raw, type=_OldProgress).rows
         self.assertEqual([('w-1', 3)], [(row.worker, row.run) for row in rows])
         entry = msgspec.structs.replace(make_entry(), born=5)
-        older = msgspec.msgpack.decode(encode(entry), type=_OlderEntry)
-        self.assertEqual('w-1', older.worker)
+        old_entry = msgspec.msgpack.decode(encode(entry), type=_OldWorkerEntry)
+        self.assertEqual('w-1', old_entry.worker)
 
-    def test_what_an_older_version_wrote_names_no_life(self) -> None:
-        row = _OlderRow(0, 0, 0, 1, 3, 'w-1')
+    def test_records_of_an_older_version_name_no_incarnation(self) -> None:
+        row = _OldTaskRow(0, 0, 0, 1, 3, 'w-1')
         restored = make_job(StepSpec(1))
-        restored.restore(decode_progress(encode(_OlderProgress([row]))))
+        restored.restore(decode_progress(encode(_OldProgress([row]))))
         task = restored.steps(0)[0].tasks[0]
         self.assertEqual(('w-1', 3), (task.worker, task.run))
         fields = msgspec.to_builtins(make_entry())
--- a/orchidrail/work/wait_times.py
+++ b/orchidrail/work/wait_times.py
@@ -1,4 +1,4 @@
-"""Why a job's tasks were not placed, summed up over its life."""
+"""Why the tasks of a job were not placed, summed up over its lifetime."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class WaitReason(Enum):
-    """What a task whose turn has come waits for."""
+    """What a task that is ready waits for."""
 
-    #: The advice service has not said yet who may run it.
+    #: Advice on its permitted workers.
     ADVICE = 'advice'
-    #: Workers that may run it have no room.
+    #: Free capacity on an eligible worker.
     ROOM = 'room'
-    #: What is free is kept for urgent work.
+    #: Free capacity other than the headroom for urgent work.
     HEADROOM = 'headroom'
-    #: No worker that may run it takes new work.
+    #: An eligible worker that accepts work.
     WORKERS = 'workers'
-    #: The journal does not answer, and a start waits for it.
+    #: A response of the journal, on which a start depends.
     JOURNAL = 'journal'
-    #: Its tenant has as much running as it may.
+    #: Its tenant to fall below its limit.
     LIMIT = 'limit'
-    #: It was given to a worker that does not answer.
+    #: The unreachable worker on which it is placed.
     LOST_WORKER = 'lostWorker'
 
 
 class WaitTimes:
-    """Seconds that one job has waited, by reason.
+    """Wait times of one job by reason, in seconds.
 
     Examples
     --------
@@ -40,13 +40,13 @@
     """
 
     def __init__(self) -> None:
-        """Wait for nothing."""
+        """Start without a wait."""
         self._seconds_by_reason: dict[WaitReason, Seconds] = defaultdict(float)
         self._reason: WaitReason | None = None
         self._since: Seconds = 0
 
     def note(self, reason: WaitReason | None, now: Seconds) -> None:
-        """Take what the job waits for from now on, None for nothing."""
+        """Record what the job waits for from `now` on, None for nothing."""
         if reason is self._reason:
             return
         if self._reason is not None:
@@ -55,15 +55,15 @@
         self._since = now
 
     def add(self, reason: WaitReason, seconds: Seconds) -> None:
-        """Add a wait that is over."""
+        """Add a wait that has ended."""
         self._seconds_by_reason[reason] += seconds
 
     def describe(self, now: Seconds) -> dict[str, Seconds]:
-        """Return the seconds by reason, the longest first, for a log line."""
+        """Return the seconds by reason for a log line, the longest first."""
         seconds_by_reason = dict(self._seconds_by_reason)
         if self._reason is not None:
-            before = seconds_by_reason.get(self._reason, 0)
-            seconds_by_reason[self._reason] = before + now - self._since
+            accumulated = seconds_by_reason.get(self._reason, 0)
+            seconds_by_reason[self._reason] = accumulated + now - self._since
         longest_first = sorted(
             seconds_by_reason.items(),
             key=lambda pair: -pair[1],
