--- a/orchidrail/shard/__init__.py
+++ b/orchidrail/shard/__init__.py
@@ -1,1 +1,1 @@
-"""One shard's owner: decisions over its workers and jobs."""
+"""Shard ownership: schedules the jobs of one shard on its workers."""
--- a/orchidrail/work/__init__.py
+++ b/orchidrail/work/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs, their steps and tasks: what is asked for and how far it has come."""
+"""Jobs, their steps and tasks: specification, state and progress."""
