--- a/orchidrail/workers/__init__.py
+++ b/orchidrail/workers/__init__.py
@@ -1,1 +1,1 @@
-"""The workers: what they report, what they are told, and their leases."""
+"""Worker sessions: orders, reports and leases."""
--- a/orchidrail/workers/entry_errors.py
+++ b/orchidrail/workers/entry_errors.py
@@ -1,4 +1,4 @@
-"""Why an entry names no worker that could be used."""
+"""Reasons for which a worker's registration entry is rejected."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 class EntryErrorKind(Enum):
     """What is wrong with an entry."""
 
-    #: Its bytes are no document.
+    #: It can't be parsed.
     UNREADABLE = 'unreadable'
-    #: A field is missing, of another type or out of its bounds.
+    #: A field is missing, has the wrong type or is out of bounds.
     FIELD = 'field'
-    #: Its key can't be a worker's name.
+    #: Its key is not a valid worker name.
     NAME = 'name'
-    #: No queue is run by its service.
+    #: No queue is run by the service that it names.
     SERVICE = 'service'
 
 
 class InvalidEntry(NamedTuple):
-    """An entry that is passed over; `reason` quotes what was met."""
+    """A rejected entry; `reason` quotes the offending value."""
 
     kind: EntryErrorKind
     reason: str
--- a/orchidrail/workers/incarnations.py
+++ b/orchidrail/workers/incarnations.py
@@ -1,21 +1,21 @@
-"""What tells the lives of a worker apart.
+"""Identity of a worker's incarnations.
 
-A worker registers under a name, which its next life may have again; what was
-heard of one life says nothing of the next. So whatever is kept by a
-`WorkerId` is kept for one life: the name together with the life's start. Of
-starts only sameness counts, since the time of day may jump back.
+A worker registers under a name, which its next incarnation may reuse; what one
+incarnation reported does not apply to the next. So a `WorkerId` identifies one
+incarnation: the name together with its start time. Start times are compared
+for equality only, since the wall clock may jump back.
 """
 
 from __future__ import annotations
 
 from orchidrail.types import WorkerId, WorkerName
 
-#: No name that is taken has it.
+#: Not allowed in a worker's name.
 BORN_SEPARATOR = '@'
 
 
 def incarnation_id(name: WorkerName, born: int | None) -> WorkerId:
-    """Return the id of one life; a worker that tells no start has one only.
+    """Return the id of one incarnation: the bare name without a start time.
 
     Examples
     --------
@@ -28,7 +28,7 @@
 
 
 def split_incarnation_id(worker: WorkerId) -> tuple[WorkerName, int | None]:
-    """Return the name and the start of a life.
+    """Return the name and the start time of an incarnation.
 
     Examples
     --------
--- a/orchidrail/workers/port.py
+++ b/orchidrail/workers/port.py
@@ -1,4 +1,4 @@
-"""Port to the workers and to the service that advises on them."""
+"""Interfaces to the workers and to the advice service."""
 
 from __future__ import annotations
 
@@ -22,28 +22,28 @@
 
 
 class WorkerState(Enum):
-    """What a worker declares of itself."""
+    """State that a worker reports of itself."""
 
     READY = 'ready'
     DRAINING = 'draining'
 
 
 class WorkerEntry(msgspec.Struct, frozen=True):
-    """One life of a worker, as it registers itself.
+    """Registration of one incarnation of a worker.
 
     Parameters
     ----------
     name : str
-        The next life may have it too.
+        The next incarnation may reuse it.
     labels : tuple of str
-        Its kind and its rack, the rack last.
+        The worker's kind and its rack, the rack last.
     leaves_in : float
-        Least seconds left while it drains.
+        Minimum number of seconds left while the worker drains.
     born : int, optional
-        When this life started, Unix milliseconds; None if it doesn't tell.
+        Start of the incarnation, Unix milliseconds; None if not reported.
     """
 
-    #: Journals of older versions call it so.
+    #: Stored as 'worker', as journals of older versions have it.
     name: WorkerName = msgspec.field(name='worker')
     service: ServiceName
     address: Address
@@ -56,17 +56,17 @@
 
     @property
     def worker(self) -> WorkerId:
-        """The life that registers itself."""
+        """Id of the registered incarnation."""
         return incarnation_id(self.name, self.born)
 
     @property
     def rack(self) -> str:
-        """The rack it stands in, empty if it names none."""
+        """Name of the worker's rack, empty if it has no labels."""
         return self.labels[-1] if self.labels else ''
 
 
 class RunKey(NamedTuple):
-    """One start of one task."""
+    """Identifies one run of one task."""
 
     task: TaskKey
     run: RunNumber
@@ -81,12 +81,12 @@
     LAPSED = 'lapsed'
     #: Another member of its gang ended first.
     BROKEN = 'broken'
-    #: The other members of its gang did not come in time.
+    #: The other members of its gang did not start in time.
     ALONE = 'alone'
 
 
 class ActiveRun(NamedTuple):
-    """A run in progress; `share_done` is a percentage."""
+    """A run in progress; `share_done` is its progress in percent."""
 
     key: RunKey
     checkpoint: str
@@ -107,23 +107,23 @@
     """Outcome of an order to a worker."""
 
     TAKEN = 'taken'
-    #: A higher fencing token was seen.
+    #: The worker has seen a higher fencing token.
     FENCED = 'fenced'
-    #: The run is not above one that ended there.
+    #: The run's number is not above that of a run that ended there.
     OLD_RUN = 'oldRun'
     #: The order's deadline had passed.
     LATE = 'late'
     NO_ROOM = 'noRoom'
     NO_TICKET = 'noTicket'
-    #: Another life answers at the address: this one is over.
+    #: Another incarnation responds at the address: this one has ended.
     OTHER_INCARNATION = 'otherLife'
-    #: The worker is not well and has done nothing.
+    #: The worker is unhealthy and has not executed the order.
     UNHEALTHY = 'unwell'
-    #: The worker could not make sense of the order.
+    #: The worker could not interpret the order.
     INVALID = 'invalid'
     #: The order can't have reached the worker.
     NOT_SENT = 'notSent'
-    #: No answer: the order may be carried out, now or later.
+    #: No response: the order may be executed, now or later.
     UNKNOWN = 'unknown'
 
 
@@ -133,9 +133,10 @@
     Parameters
     ----------
     clock : float, optional
-        The worker's, None without a body.
+        The worker's clock in seconds, None if the response has no body.
     born : int, optional
-        Start of the life that answered, where that is another one and tells.
+        Start of the incarnation that responded, Unix milliseconds, if it is
+        another one and reports it.
     """
 
     result: OrderResult
@@ -144,13 +145,13 @@
 
 
 class Listing(NamedTuple):
-    """Everything that a worker runs, and the ends not yet acknowledged.
+    """All runs of a worker, and the endings not yet acknowledged.
 
     Parameters
     ----------
     born : int, optional
-        When the life that answers started, Unix milliseconds; None if the
-        worker doesn't tell. Two lives differ in it, also under one id.
+        Start of the incarnation that responds, Unix milliseconds; None if not
+        reported. Two incarnations differ in it, also under one name.
     """
 
     clock: Seconds
@@ -171,16 +172,17 @@
 
 
 class HoldOrder(NamedTuple):
-    """Renew the lease of all that runs, and list it.
+    """Renew the lease of all runs, and list them.
 
     Parameters
     ----------
     deadline : float, optional
-        End of the lease on the worker's clock, seconds; None leaves it.
+        New end of the lease on the worker's clock, seconds; None for no
+        renewal.
     last_seen : int
-        Ends up to this number are forgotten.
+        Acknowledges the endings up to this number; the worker drops them.
     wait : float
-        Seconds for which the answer may wait for an end.
+        Seconds for which the worker may hold the response until a run ends.
     """
 
     epoch: Epoch
@@ -190,10 +192,10 @@
 
 
 class WorkerCalls(Protocol):
-    """Orders to workers; none of them raises for a failure outside.
+    """Orders to workers; external failures are returned, not raised.
 
-    An order is carried out by the life that the entry names, or by none, where
-    both the entry and the worker tell lives apart.
+    If both the entry and the worker report the start of the incarnation, an
+    order is executed by the incarnation that the entry names, or by none.
     """
 
     async def start(
@@ -219,25 +221,25 @@
         order: HoldOrder,
         timeout: Seconds,
     ) -> Listing | OrderAnswer:
-        """Renew the lease and list what runs."""
+        """Renew the lease and list the runs."""
 
 
 class Advice(NamedTuple):
-    """Who may run a step: tickets by worker, good for `valid` seconds."""
+    """Workers that may run a step: their tickets, valid `valid` seconds."""
 
     ticket_by_worker: dict[WorkerId, str]
     valid: Seconds
 
 
 class TicketsByName(NamedTuple):
-    """The same as the service gives it: it knows workers by their names."""
+    """Tickets as the advice service returns them, by worker name."""
 
     ticket_by_name: dict[WorkerName, str]
     valid: Seconds
 
 
 class AdviceCalls(Protocol):
-    """The service that knows which workers may run a step."""
+    """The advice service, which decides which workers may run a step."""
 
     async def advise(
         self,
@@ -245,4 +247,4 @@
         names: list[WorkerName],
         timeout: Seconds,
     ) -> TicketsByName | None:
-        """Ask about some workers; None if there is no answer."""
+        """Request tickets for some workers; None if there is no response."""
--- a/orchidrail/workers/run_lease.py
+++ b/orchidrail/workers/run_lease.py
@@ -1,7 +1,7 @@
-"""Arithmetic of the lease under which a worker runs what it was given.
+"""Expiry of the lease under which a worker keeps its runs.
 
-The lease's end is a time on the worker's own clock. Its clock may run slow,
-so a lease has surely ended only some time after our clock says so.
+The lease's deadline is a time on the worker's own clock. That clock may run
+slow, so a lease counts as expired only after a margin on the owner's clock.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 from orchidrail.types import Seconds
 
-#: Share by which a worker's clock may run slow, as the platform states.
+#: Fraction by which a worker's clock may run slow, as the platform states.
 MAX_CLOCK_SLOWDOWN = 0.02
 _NEVER: Seconds = math.inf
 
 
 class RunLease:
-    """What is known of one worker's clock and of its latest lease.
+    """Estimate of one worker's clock, and the deadline of its latest lease.
 
     Parameters
     ----------
     max_duration : float
-        Seconds that one renewal may last.
+        Seconds by which one renewal extends the lease.
     prior_leases_end : float
-        Our clock's time before which a renewal by an earlier owner of the
-        worker may still last.
+        Time on the owner's clock until which a lease renewed by a previous
+        owner of the worker may still run.
 
     Examples
     --------
@@ -39,8 +39,8 @@
     def __init__(
         self, max_duration: Seconds, prior_leases_end: Seconds
     ) -> None:
-        """Start without knowing the worker's clock."""
-        self._longest = max_duration
+        """Start without a reading of the worker's clock."""
+        self._max_duration = max_duration
         self._prior_leases_end = prior_leases_end
         self._clock: Seconds | None = None
         self._observed_at: Seconds = 0
@@ -52,39 +52,39 @@
         return self._clock is not None
 
     def observe(self, clock: Seconds, at: Seconds) -> None:
-        """Note what the worker's clock showed in an answer got at `at`.
+        """Record the worker's clock from a response received at `at`.
 
-        Answers may overtake one another; the latest estimate is kept.
+        Responses may arrive out of order; the latest estimate is kept.
         """
         if self._clock is None or clock >= self.clock_at(at):
             self._clock = clock
             self._observed_at = at
 
     def clock_at(self, now: Seconds) -> Seconds:
-        """Return a time that the worker's clock has reached by `now`."""
+        """Return the estimate of the worker's clock at `now`."""
         if self._clock is None:
             return -_NEVER
         passed = now - self._observed_at
         return self._clock + passed
 
     def renew(self, now: Seconds) -> Seconds:
-        """Return the end to ask for, on the worker's clock."""
-        return self.extend_to(self.clock_at(now) + self._longest)
+        """Return the deadline to request, on the worker's clock."""
+        return self.extend_to(self.clock_at(now) + self._max_duration)
 
     def extend_to(self, deadline: Seconds) -> Seconds:
-        """Note that an order with this deadline is about to be sent."""
+        """Extend the lease to the deadline of an order about to be sent."""
         self._latest = max(self._latest, deadline)
         return deadline
 
     def adopt(self, now: Seconds) -> None:
-        """Note that runs were found, leased by an earlier owner."""
-        self.extend_to(self.clock_at(now) + self._longest)
+        """Account for inherited runs, which a previous owner has leased."""
+        self.extend_to(self.clock_at(now) + self._max_duration)
 
     def expired(self, now: Seconds) -> bool:
-        """Tell whether all that ran under the lease has surely ended.
+        """Return whether every run under the lease has certainly ended.
 
-        A worker that has answered takes no renewal of an earlier owner any
-        more: only one that never did is left to `prior_leases_end`.
+        A worker that has responded accepts no more renewals from a previous
+        owner, so `prior_leases_end` applies only to one that never did.
         """
         if self._clock is None:
             return now > self._prior_leases_end
--- a/orchidrail/workers/session.py
+++ b/orchidrail/workers/session.py
@@ -1,10 +1,12 @@
-"""One owner's dealings with one life of a worker.
+"""Session of one owner with one incarnation of a worker.
 
-The session keeps the lease alive, hears of ends and acknowledges them once
-they are in the journal. It reports to an observer and decides nothing. A worker
-that is back under its name gets a session of its own: numbers of ends, clock
-and fence begin anew there, and an acknowledgement that outlived its life made
-ends vanish (up to 38 tasks started again on a modelled day of 30 s).
+The session renews the lease, receives run endings and acknowledges them once
+they are in the journal. It reports to an observer and makes no decisions.
+
+Each incarnation gets a session of its own, since ending numbers, the clock and
+the fencing token start over. An acknowledgement carried over to the next
+incarnation discards endings that nobody received: in a simulated day of 30 s,
+up to 38 tasks were run again because of it.
 """
 
 from __future__ import annotations
@@ -33,28 +35,28 @@
 from orchidrail.workers.run_lease import RunLease
 
 _log = structlog.get_logger()
-#: How long a worker may hold a look open; the lease is renewed with each.
+#: How long a worker may hold a poll open; each poll renews the lease.
 _POLL_WAIT: Seconds = 0.8
-#: Time beyond the wait after which a look counts as unanswered; an answer
-#: takes 1 to 4 ms, and until the next look no end is heard of.
+#: Time beyond the wait after which a poll times out. A response takes 1 to
+#: 4 ms, and no ending is received until the next poll.
 _POLL_SLACK: Seconds = 0.25
-#: Looks in a row that must fail before a worker counts as lost.
+#: Consecutive polls that must fail before a worker is unreachable.
 _FAILED_POLLS_UNTIL_LOST = 2
-#: Pause after a look that failed.
+#: Pause after a failed poll.
 _FAILED_PAUSE: Seconds = 0.2
-#: Longest wait for the journal before the lease is renewed again.
+#: Maximum wait for the journal before the lease is renewed again.
 _JOURNAL_WAIT: Seconds = 0.5
-#: Time in which a start must reach its worker, on the worker's clock; later
-#: the worker refuses it, so that a late copy harms nothing.
+#: Time on the worker's clock in which a start order must arrive. The worker
+#: rejects a later one, so that a delayed copy has no effect.
 START_VALIDITY: Seconds = 0.4
 _START_TIMEOUT: Seconds = 0.35
-#: Added where a time on the worker's clock is waited for.
+#: Added to waits for a time on the worker's clock.
 _CLOCK_SLACK: Seconds = 0.02
 _STOP_TIMEOUT: Seconds = 0.7
 
 
 class Observer(Protocol):
-    """Hears what a session finds out."""
+    """Receives the events of a session."""
 
     def on_listing(
         self,
@@ -62,18 +64,18 @@
         listing: Listing,
         sent_at: Seconds,
     ) -> list[Awaitable[bool]]:
-        """Take a listing.
+        """Handle a listing.
 
         Returns
         -------
-        The writes that must end before its ends may be acknowledged.
+        The writes to complete before its endings may be acknowledged.
         """
 
     def on_incarnation_ended(self, session: WorkerSession) -> None:
-        """Take that nothing of this life runs any more."""
+        """Handle that no run of this incarnation is left."""
 
     def on_fenced(self, session: WorkerSession) -> None:
-        """Take that the worker has seen a newer owner."""
+        """Handle that the worker has seen a newer owner."""
 
 
 async def _always(token: Epoch) -> bool:
@@ -82,7 +84,7 @@
 
 
 class WorkerSession:
-    """Holds one worker for one owner.
+    """Session of one owner with one incarnation of a worker.
 
     Parameters
     ----------
@@ -97,7 +99,7 @@
     may_renew : callable
         Whether this owner may still keep runs alive.
     may_use_fence : callable
-        Whether orders may carry a higher fencing token, once that is known.
+        Decides whether orders may carry a given higher fencing token.
     """
 
     def __init__(
@@ -111,52 +113,52 @@
         may_renew: Callable[[], bool],
         may_use_fence: Callable[[Epoch], Awaitable[bool]] = _always,
     ) -> None:
-        """Start without having heard of the worker."""
+        """Start without a response from the worker."""
         self.entry = entry
-        #: The life that this session deals with.
+        #: The incarnation of this session.
         self.worker: WorkerId = entry.worker
         self.lease = lease
         self.epoch = epoch
         self.terminated = False
-        #: Start of the life that came after this one under the same name.
+        #: Start of the next incarnation under the same name, if known.
         self.next_born: int | None = None
-        #: Whether the latest look was answered.
+        #: Whether the worker responds: false after consecutive failures.
         self.reachable = False
-        #: Whether any look was answered: older orders are void since then.
+        #: Whether any poll was answered, which fences off older orders.
         self.fence_raised = False
         self.lost_at: Seconds | None = clock()
-        #: When this life answered last.
+        #: When this incarnation responded last.
         self.last_response_at: Seconds = -math.inf
         self._calls = calls
         self._observer = observer
         self._clock = clock
         self._may_renew = may_renew
         self._may_use_fence = may_use_fence
-        self._raising = BackgroundTasks('fencing token')
+        self._fence_tasks = BackgroundTasks('fencing token')
         self._extra_polls = BackgroundTasks('look')
         self._failures = 0
         self._last_seen = 0
-        self._last_heard = 0
+        self._last_received = 0
 
     @property
     def next_incarnation(self) -> WorkerId | None:
-        """The life that came after this one under the same name, if known."""
+        """Next incarnation under the same name, if known."""
         if self.next_born is None:
             return None
         return incarnation_id(self.entry.name, self.next_born)
 
     @property
     def stopped_responding(self) -> bool:
-        """Whether the worker answered before and does not now."""
+        """Whether the worker responded before and does not now."""
         return self.fence_raised and not self.reachable and not self.terminated
 
     @property
     def ending_progress(self) -> tuple[int, int]:
-        """Number of the last end that was acknowledged, and of that heard."""
-        return self._last_seen, self._last_heard
+        """Numbers of the last ending acknowledged and of the last received."""
+        return self._last_seen, self._last_received
 
     async def run(self) -> None:
-        """Look again and again until this life of the worker is over."""
+        """Poll until this incarnation of the worker has ended."""
         while not self.terminated:
             await self._poll()
 
@@ -169,8 +171,8 @@
     ) -> tuple[OrderAnswer, Seconds]:
         """Order a start; also return its deadline on the worker's clock.
 
-        The caller passes the answer on to `handle_answer`, once it has noted
-        for the run what it says: it may end this life and all that runs here.
+        The caller passes the answer to `handle_answer` after recording the
+        result for the run: handling it may end this incarnation with its runs.
         """
         deadline = self.lease.clock_at(self._clock()) + START_VALIDITY
         self.lease.extend_to(deadline)
@@ -178,14 +180,14 @@
         answer = await self._calls.start(self.entry, order, _START_TIMEOUT)
         answer = self._reclassify_own_fence(answer, order.epoch)
         if answer.result is OrderResult.UNKNOWN:
-            # A look after the deadline tells whether the run is there.
+            # A poll after the deadline shows whether the run exists.
             left = deadline - self.lease.clock_at(self._clock())
             loop = asyncio.get_running_loop()
             loop.call_later(left + _CLOCK_SLACK, self.poll_soon)
         return answer, deadline
 
     async def stop(self, key: RunKey) -> OrderAnswer:
-        """Order a stop; the run's end shows in a later listing."""
+        """Order a stop; the run's ending appears in a later listing."""
         epoch = self.epoch
         answer = await self._calls.stop(
             self.entry,
@@ -198,22 +200,22 @@
         return answer
 
     def poll_soon(self) -> None:
-        """Look beside the look that waits, to learn something at once.
+        """Poll at once, in parallel with the long poll.
 
-        The look that waits may be on a connection that went silent.
+        The long poll may be on a connection that no longer responds.
         """
         if not self.terminated and not self._extra_polls:
             self._extra_polls.spawn(self._poll_once(0))
 
     def invalidate_orders(self) -> None:
-        """Have what was ordered so far refused, soon, if it comes late.
+        """Fence off the orders sent so far, in case they arrive late.
 
-        The deadline of a start in doubt binds this life alone. A next one under
-        the same name hears of the higher token with the first look at it, also
-        if the look's answer is lost.
+        The deadline of an unconfirmed start binds this incarnation only. The
+        next one under the same name receives the higher fencing token with its
+        first poll, even if the response to that poll is lost.
         """
-        if not self._raising:
-            self._raising.spawn(self._raise_fence())
+        if not self._fence_tasks:
+            self._fence_tasks.spawn(self._raise_fence())
 
     async def _raise_fence(self) -> None:
         token = Epoch(self.epoch + 1)
@@ -223,16 +225,16 @@
     def _reclassify_own_fence(
         self, answer: OrderAnswer, epoch: Epoch
     ) -> OrderAnswer:
-        """Take an order that this owner itself has fenced off for too late."""
+        """Treat an order that this owner fenced off itself as late."""
         if answer.result is OrderResult.FENCED and epoch < self.epoch:
             return answer._replace(result=OrderResult.LATE)
         return answer
 
     def matches_incarnation(self, born: int | None) -> bool:
-        """Tell whether what says that it was born then may be this life.
+        """Return whether a report with this start may be of this incarnation.
 
-        What is heard first is taken for it, where the entry names no start. Who
-        names none is believed.
+        If the entry has no start, the first one reported is adopted. A report
+        without a start always matches.
         """
         if born is None:
             return True
@@ -241,7 +243,7 @@
         return born == self.entry.born
 
     def end_incarnation(self, next_born: int | None = None) -> None:
-        """Note that this life is over, and which one came after it."""
+        """End the session; record the start of the next incarnation."""
         if not self.terminated:
             self.next_born = next_born
             self.terminated = True
@@ -249,29 +251,29 @@
             self._observer.on_incarnation_ended(self)
 
     def close(self) -> None:
-        """Take no further answers; what runs there may run on."""
+        """Ignore further responses; the worker's runs may go on."""
         self.terminated = True
         self.reachable = False
 
     def handle_answer(self, answer: OrderAnswer) -> None:
-        """Take what an answer tells of the worker's life and clock."""
+        """Apply what an answer reports of the incarnation and its clock."""
         if answer.clock is not None:
             self.last_response_at = self._clock()
             self.lease.observe(answer.clock, self.last_response_at)
         if answer.result is OrderResult.OTHER_INCARNATION:
-            self._note_other_life(answer.born, answer.clock)
+            self._handle_other_incarnation(answer.born, answer.clock)
         elif answer.result is OrderResult.FENCED:
             self._observer.on_fenced(self)
 
     async def _poll(self) -> None:
-        behind = self._last_heard > self._last_seen
-        doubted = behind or self._failures or not self.reachable
-        await self._poll_once(0 if doubted else _POLL_WAIT)
+        behind = self._last_received > self._last_seen
+        uncertain = behind or self._failures or not self.reachable
+        await self._poll_once(0 if uncertain else _POLL_WAIT)
 
     async def _poll_once(self, wait: Seconds) -> None:
         sent_at = self._clock()
-        # A renewal without an answer may count all the same, so a worker that
-        # is lost gets none: else its lease would never surely end.
+        # A renewal without a response may take effect all the same. So an
+        # unreachable worker gets none: else its lease would never expire.
         renews = self.reachable and self._may_renew()
         deadline = self.lease.renew(sent_at) if renews else None
         order = HoldOrder(self.epoch, deadline, self._last_seen, wait)
@@ -281,18 +283,18 @@
             wait + _POLL_SLACK,
         )
         if self.terminated:
-            # What an answer says of a life that is over helps nobody.
+            # Responses of an ended incarnation are of no use.
             return
         if isinstance(answer, Listing):
-            await self._take_listing(answer, sent_at)
+            await self._handle_listing(answer, sent_at)
         else:
-            await self._take_failure(
+            await self._handle_failure(
                 self._reclassify_own_fence(answer, order.epoch)
             )
 
-    async def _take_listing(self, listing: Listing, sent_at: Seconds) -> None:
+    async def _handle_listing(self, listing: Listing, sent_at: Seconds) -> None:
         if not self.matches_incarnation(listing.born):
-            self._note_other_life(listing.born, listing.clock)
+            self._handle_other_incarnation(listing.born, listing.clock)
             return
         first = not self.lease.clock_known
         self.last_response_at = self._clock()
@@ -314,11 +316,11 @@
         numbers = [ended.number for ended in listing.ended]
         if not numbers:
             return
-        self._last_heard = max(self._last_heard, *numbers)
+        self._last_received = max(self._last_received, *numbers)
         if await _all_written(writes):
             self._last_seen = max(self._last_seen, *numbers)
 
-    def _note_other_life(
+    def _handle_other_incarnation(
         self,
         born: int | None,
         clock: Seconds | None,
@@ -339,7 +341,7 @@
             return None
         return round(self.lease.clock_at(self._clock()), 3)
 
-    async def _take_failure(self, answer: OrderAnswer) -> None:
+    async def _handle_failure(self, answer: OrderAnswer) -> None:
         self.handle_answer(answer)
         self._failures += 1
         if self._failures < _FAILED_POLLS_UNTIL_LOST and not self.terminated:
@@ -356,7 +358,7 @@
 
 
 async def _all_written(writes: list[Awaitable[bool]]) -> bool:
-    """Wait a while for writes; False if one is not in the journal by then."""
+    """Wait for writes; False if one is not in the journal in time."""
     try:
         async with asyncio.timeout(_JOURNAL_WAIT):
             return all([await write for write in writes])
--- a/orchidrail/workers/tests/fakes.py
+++ b/orchidrail/workers/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A worker in this process's memory, for tests."""
+"""In-memory worker for tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def make_entry(name: str = 'w-1', cores: int = 64) -> WorkerEntry:
-    """Return the entry of a worker with some room."""
+    """Return the entry of a worker with free capacity."""
     return WorkerEntry(
         name=WorkerName(name),
         service=ServiceName('service'),
@@ -35,7 +35,7 @@
 
 
 class FakeWorker:
-    """Fits `WorkerCalls` for a single worker; its clock is set by hand."""
+    """Implements `WorkerCalls` for one worker; tests set its clock."""
 
     def __init__(self) -> None:
         """Start idle at clock 100."""
@@ -47,13 +47,13 @@
         self.starts: list[StartOrder] = []
         self.stops: list[RunKey] = []
         self.start_result = OrderResult.TAKEN
-        #: What its listings say of its start.
+        #: Start of the incarnation, as reported in its listings.
         self.born: int | None = None
-        #: If set, looks are answered with it.
+        #: Result of all polls, if set.
         self.hold_result: OrderResult | None = None
 
     def end(self, key: RunKey, ending: RunEnding, saved: str = '') -> None:
-        """End a run and list its end."""
+        """End a run and list its ending."""
         self.active.pop(key, None)
         number = len(self.ended) + 1
         self.ended.append(EndedRun(number, key, ending, saved))
@@ -77,7 +77,7 @@
         epoch: Epoch,
         timeout: Seconds,
     ) -> OrderAnswer:
-        """See `WorkerCalls.stop`; the end is listed by the test."""
+        """See `WorkerCalls.stop`; the test lists the ending."""
         self.stops.append(key)
         self.active.pop(key, None)
         return OrderAnswer(OrderResult.TAKEN, self.clock)
--- a/orchidrail/workers/tests/test_lease.py
+++ b/orchidrail/workers/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Tests of the lease's arithmetic."""
+"""Tests of the expiry of run leases."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 
 from orchidrail.workers.run_lease import MAX_CLOCK_SLOWDOWN, RunLease
 
-_LONGEST = 6
+_MAX_DURATION = 6
 _times = st.floats(min_value=0, max_value=1000)
 
 
 class LeaseTest(TestCase):
-    def test_an_unmet_worker_is_doubted_until_a_time(self) -> None:
-        lease = RunLease(_LONGEST, prior_leases_end=20)
+    def test_unseen_worker_expires_with_prior_leases(self) -> None:
+        lease = RunLease(_MAX_DURATION, prior_leases_end=20)
         self.assertFalse(lease.expired(20))
         self.assertTrue(lease.expired(20.1))
 
-    def test_an_answer_that_was_overtaken_changes_nothing(self) -> None:
-        lease = RunLease(_LONGEST, prior_leases_end=0)
+    def test_out_of_order_response_keeps_the_clock_estimate(self) -> None:
+        lease = RunLease(_MAX_DURATION, prior_leases_end=0)
         lease.observe(clock=110, at=60)
         lease.observe(clock=101, at=61)
         self.assertEqual(111, lease.clock_at(61))
@@ -30,15 +30,15 @@
         renewed=_times,
         passed=_times,
     )
-    def test_a_lease_that_counts_as_ended_has_ended(
+    def test_expired_lease_has_ended_on_the_workers_clock(
         self,
         rate: float,
         delay: float,
         renewed: float,
         passed: float,
     ) -> None:
-        """The worker's clock starts at 0 with ours and runs at `rate`."""
-        lease = RunLease(_LONGEST, prior_leases_end=0)
+        """Both clocks start at 0; the worker's runs at `rate`."""
+        lease = RunLease(_MAX_DURATION, prior_leases_end=0)
         lease.observe(clock=0, at=delay)
         end = lease.renew(delay + renewed)
         now = delay + renewed + passed
--- a/orchidrail/workers/tests/test_session.py
+++ b/orchidrail/workers/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Tests of one owner's dealings with one worker."""
+"""Tests of the session of one owner with one worker."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 
 
 class _Observer:
-    """Lets the test decide when the journal has what was listed."""
+    """Lets the test decide when the listed endings are in the journal."""
 
     def __init__(self) -> None:
         self.written: asyncio.Future[bool] | None = None
         self.listings: list[Listing] = []
-        self.over = 0
+        self.ended = 0
         self.fenced = 0
 
     def on_listing(
@@ -37,7 +37,7 @@
         return [asyncio.shield(self.written)]
 
     def on_incarnation_ended(self, session: WorkerSession) -> None:
-        self.over += 1
+        self.ended += 1
 
     def on_fenced(self, session: WorkerSession) -> None:
         self.fenced += 1
@@ -60,12 +60,12 @@
             lambda: self.may_renew,
         )
 
-    def test_an_end_is_acknowledged_only_when_written(self) -> None:
+    def test_an_ending_is_acknowledged_only_when_written(self) -> None:
         async def end() -> None:
             loop = asyncio.get_running_loop()
             self.observer.written = loop.create_future()
             self.worker.end(_KEY, RunEnding.DONE)
-            looking = asyncio.create_task(self.session.run())
+            polling = asyncio.create_task(self.session.run())
             await asyncio.sleep(1.2)
             seen = {order.last_seen for order in self.worker.holds}
             self.assertEqual({0}, seen)
@@ -73,21 +73,21 @@
             self.observer.written.set_result(True)
             await asyncio.sleep(0.05)
             self.assertEqual(1, self.worker.holds[-1].last_seen)
-            looking.cancel()
+            polling.cancel()
 
         asyncio.run(end())
 
     def test_the_lease_is_renewed_on_the_workers_clock(self) -> None:
-        async def look() -> None:
+        async def poll_twice() -> None:
             await self.session._poll()
             await self.session._poll()
             self.assertIsNone(self.worker.holds[0].deadline)
             self.assertEqual(106, self.worker.holds[1].deadline)
 
-        asyncio.run(look())
+        asyncio.run(poll_twice())
 
-    def test_the_lease_of_a_lost_worker_comes_to_its_end(self) -> None:
-        async def lose() -> None:
+    def test_the_lease_of_an_unreachable_worker_expires(self) -> None:
+        async def lose_contact() -> None:
             await self.session._poll()
             await self.session._poll()
             self.worker.hold_result = OrderResult.UNKNOWN
@@ -102,85 +102,85 @@
             self.assertTrue(self.session.lease.expired(62))
             self.assertIsNone(self.worker.holds[-1].deadline)
 
-        asyncio.run(lose())
+        asyncio.run(lose_contact())
 
     def test_without_authority_nothing_is_renewed(self) -> None:
-        async def look_twice() -> None:
+        async def poll_twice() -> None:
             await self.session._poll()
             await self.session._poll()
 
         self.may_renew = False
-        asyncio.run(look_twice())
+        asyncio.run(poll_twice())
         self.assertTrue(self.session.reachable)
         deadlines = [hold.deadline for hold in self.worker.holds]
         self.assertEqual([None, None], deadlines)
 
-    def test_another_life_ends_the_session(self) -> None:
+    def test_another_incarnation_ends_the_session(self) -> None:
         self.worker.hold_result = OrderResult.OTHER_INCARNATION
         asyncio.run(self.session._poll())
         self.assertTrue(self.session.terminated)
-        self.assertEqual(1, self.observer.over)
+        self.assertEqual(1, self.observer.ended)
 
     def test_a_newer_owner_is_reported(self) -> None:
         self.worker.hold_result = OrderResult.FENCED
         asyncio.run(self.session._poll())
         self.assertEqual(1, self.observer.fenced)
 
-    def test_the_next_life_gets_no_acknowledgement_of_this_one(self) -> None:
-        """Ends are numbered anew there; it would forget what nobody heard."""
+    def test_acknowledgements_do_not_reach_the_next_incarnation(self) -> None:
+        """Its endings are numbered from 1 again, so it would drop new ones."""
 
-        async def scene() -> None:
+        async def run_scenario() -> None:
             await self.session._poll()
             self.worker.end(_KEY, RunEnding.DONE)
             await self.session._poll()
             self.worker.born = 2000
             await self.session._poll()
             self.assertTrue(self.session.terminated)
-            looks = len(self.worker.holds)
+            polls = len(self.worker.holds)
             await self.session.run()
-            self.assertEqual(looks, len(self.worker.holds))
+            self.assertEqual(polls, len(self.worker.holds))
 
         self.worker.born = 1000
-        asyncio.run(scene())
-        self.assertEqual(1, self.observer.over)
+        asyncio.run(run_scenario())
+        self.assertEqual(1, self.observer.ended)
         born = [listing.born for listing in self.observer.listings]
         self.assertEqual([1000, 1000], born)
 
-    def test_an_answer_that_comes_after_the_life_is_over_is_dropped(
+    def test_a_response_after_the_end_of_the_incarnation_is_ignored(
         self,
     ) -> None:
-        async def scene() -> None:
-            looking = asyncio.create_task(self.session._poll())
+        async def run_scenario() -> None:
+            polling = asyncio.create_task(self.session._poll())
             await asyncio.sleep(0)
             self.session.end_incarnation()
-            await looking
+            await polling
 
-        asyncio.run(scene())
+        asyncio.run(run_scenario())
         self.assertEqual([], self.observer.listings)
-        self.assertEqual(1, self.observer.over)
+        self.assertEqual(1, self.observer.ended)
 
-    def test_a_worker_that_tells_no_start_is_believed(self) -> None:
-        async def scene() -> None:
+    def test_a_listing_without_a_start_matches(self) -> None:
+        async def run_scenario() -> None:
             for born in (1000, None, 1000):
                 self.worker.born = born
                 await self.session._poll()
 
-        asyncio.run(scene())
+        asyncio.run(run_scenario())
         self.assertFalse(self.session.terminated)
 
-    def test_a_start_that_is_told_later_is_that_of_another_life(self) -> None:
-        """Its software was replaced, which it does not outlive."""
+    def test_a_start_reported_later_is_of_another_incarnation(self) -> None:
+        """The worker's software was upgraded, which restarts the worker."""
 
-        async def scene() -> None:
+        async def run_scenario() -> None:
             await self.session._poll()
             self.worker.born = 1000
             await self.session._poll()
 
-        asyncio.run(scene())
+        asyncio.run(run_scenario())
         self.assertTrue(self.session.terminated)
 
-    def test_orders_that_this_owner_has_fenced_off_are_late(self) -> None:
-        async def scene() -> None:
+    def test_orders_fenced_off_by_this_owner_are_late(self) -> None:
+        async def run_scenario() -> None:
             await self.session._poll()
             self.session.invalidate_orders()
             await asyncio.sleep(0)
@@ -188,11 +188,11 @@
             self.assertEqual(8, self.session.epoch)
             await self.session._poll()
             self.assertEqual(8, self.worker.holds[-1].epoch)
-            looking = asyncio.create_task(self.session._poll_once(0))
+            polling = asyncio.create_task(self.session._poll_once(0))
             await asyncio.sleep(0)
             self.session.invalidate_orders()
             self.worker.hold_result = OrderResult.FENCED
-            await looking
+            await polling
 
-        asyncio.run(scene())
+        asyncio.run(run_scenario())
         self.assertEqual(0, self.observer.fenced)
