--- a/orchidrail/journal/__init__.py
+++ b/orchidrail/journal/__init__.py
@@ -1,4 +1,4 @@
-"""A fenced map of keys to values, kept in one partition of the store."""
+"""A fenced key-value journal in one partition of the store."""
 
 from __future__ import annotations
 
--- a/orchidrail/journal/appending.py
+++ b/orchidrail/journal/appending.py
@@ -1,4 +1,4 @@
-"""One append at an expected end, and whose records are there after it."""
+"""One conditional append, and whose records are at its offset afterwards."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class AppendStatus(Enum):
-    """Whose records are at the place that an append names."""
+    """Whose records are at the offset that an append expects."""
 
     #: Those of the append.
     WRITTEN = 'ours'
-    #: Another's, for good: the append can't be carried out any more.
+    #: Another writer's, permanently: the append can no longer succeed.
     CONFLICT = 'theirs'
-    #: Nobody's yet: the store has refused the append.
+    #: None yet: the store has rejected the append.
     NOT_WRITTEN = 'free'
-    #: Not known: the append may have been carried out, or may be yet.
+    #: Not known: the append may have succeeded, or may still succeed.
     UNKNOWN = 'unknown'
 
 
-#: What ends the tries of an append.
+#: Statuses after which an append is not retried.
 FINAL_STATUSES = frozenset((AppendStatus.WRITTEN, AppendStatus.CONFLICT))
 
 
@@ -45,10 +45,10 @@
     records: list[KeyedRecord],
     expected: Offset,
 ) -> AppendStatus:
-    """Try to append at the end `expected`; tell what is known of that place.
+    """Try to append at the end `expected`; return what is known afterwards.
 
-    After `NOT_WRITTEN` and `UNKNOWN` the append is to be tried again at that
-    end, after `UNKNOWN` with the same records.
+    After `NOT_WRITTEN` and `UNKNOWN` the caller retries at the same end, after
+    `UNKNOWN` with the same records.
     """
     async with view.lock:
         return await _append_locked(view, records, expected)
@@ -65,7 +65,7 @@
         return AppendStatus.WRITTEN
     if isinstance(outcome, (EndMoved, Uncertain)):
         return await _read_back(view, records, expected)
-    _log.info('append not taken', reason=outcome.reason, at=expected)
+    _log.info('append rejected', reason=outcome.reason, at=expected)
     return AppendStatus.NOT_WRITTEN
 
 
--- a/orchidrail/journal/follower.py
+++ b/orchidrail/journal/follower.py
@@ -1,4 +1,4 @@
-"""Reading a journal: the newest value by key, and how far it was read."""
+"""Reading a journal: the latest value by key, and the offset read up to."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from orchidrail.types import Offset, Seconds
 
 _log = structlog.get_logger()
-#: Tries to list a partition whose history runs away meanwhile.
-_LISTING_TRIES = 4
+#: Attempts to list a partition whose history is trimmed in the meantime.
+_LISTING_ATTEMPTS = 4
 
 
 class JournalView:
-    """One process's copy of a journal.
+    """In-memory copy of a journal in one process.
 
     Parameters
     ----------
@@ -31,17 +31,17 @@
     """
 
     def __init__(self, store: StoreLog, topic: Topic) -> None:
-        """Start empty; nothing is read yet."""
+        """Start empty, with nothing read."""
         self.store = store
         self.topic = topic
         self.value_by_key: dict[str, bytes] = {}
         #: Offset that follows the last record read; None before the first.
         self.end: Offset | None = None
-        #: Held by whoever moves `end`: readers and the writer share the view.
+        #: Held while `end` is moved: readers and the writer share the view.
         self.lock = asyncio.Lock()
 
     def apply(self, records: list[KeyedRecord], end: Offset) -> None:
-        """Take records that are in the store up to `end`."""
+        """Apply records that are in the store, up to offset `end`."""
         for record in records:
             if record.value:
                 self.value_by_key[record.key] = record.value
@@ -50,7 +50,7 @@
         self.end = end
 
     async def catch_up(self, wait: Seconds = 0) -> bool:
-        """Read up to the partition's end; tell whether that was reached.
+        """Read up to the partition's end; return whether it was reached.
 
         Parameters
         ----------
@@ -61,7 +61,7 @@
             return await self._catch_up(wait)
 
     async def _catch_up(self, wait: Seconds) -> bool:
-        for _ in range(_LISTING_TRIES):
+        for _ in range(_LISTING_ATTEMPTS):
             if self.end is None and not await self._list_all():
                 return False
             if not await self._read_forward(wait):
@@ -76,7 +76,7 @@
             if isinstance(outcome, Unavailable):
                 return False
             if isinstance(outcome, Trimmed):
-                _log.warning('journal ran away', first=outcome.first)
+                _log.warning('journal history trimmed', first=outcome.first)
                 self.end = None
                 return True
             self.apply(
@@ -88,7 +88,11 @@
         return True
 
     async def _list_all(self) -> bool:
-        """Read the newest value of each key, then go on from the start."""
+        """Read the latest value of each key, then continue from the start.
+
+        The start is the partition's end at the first page, so that no record
+        appended while the pages are read is missed.
+        """
         listed: list[KeyedRecord] = []
         after = ''
         start: Offset | None = None
--- a/orchidrail/journal/tests/test_follower.py
+++ b/orchidrail/journal/tests/test_follower.py
@@ -26,13 +26,13 @@
     def _append(self, *records: KeyedRecord) -> None:
         asyncio.run(self.store.append(_TOPIC, list(records)))
 
-    def test_reads_the_newest_by_key(self) -> None:
+    def test_reads_the_latest_value_by_key(self) -> None:
         self._append(KeyedRecord('a', b'1'), KeyedRecord('b', b'2'))
         self._append(KeyedRecord('a', b'3'), KeyedRecord('b', b''))
         self.assertTrue(asyncio.run(self.view.catch_up()))
         self.assertEqual({'a': b'3'}, self.view.value_by_key)
 
-    def test_two_readers_at_once_skip_nothing(self) -> None:
+    def test_concurrent_readers_skip_no_record(self) -> None:
         async def read_twice() -> None:
             await self.view.catch_up()
             await self.store.append(_TOPIC, _records('a', 'b'))
@@ -43,7 +43,7 @@
         asyncio.run(read_twice())
         self.assertEqual({'a', 'b', 'c'}, set(self.view.value_by_key))
 
-    def test_lists_anew_when_the_history_ran_away(self) -> None:
+    def test_lists_again_after_the_history_was_trimmed(self) -> None:
         self._append(*_records('a'))
         asyncio.run(self.view.catch_up())
         self._append(*_records('b', 'c'))
@@ -52,6 +52,6 @@
         self.assertTrue(asyncio.run(self.view.catch_up()))
         self.assertEqual({'b', 'c'}, set(self.view.value_by_key))
 
-    def test_says_that_it_could_not_read(self) -> None:
+    def test_reports_a_failed_read(self) -> None:
         self.store.fault = StoreFault.REFUSES
         self.assertFalse(asyncio.run(self.view.catch_up()))
--- a/orchidrail/journal/tests/test_writer.py
+++ b/orchidrail/journal/tests/test_writer.py
@@ -1,4 +1,4 @@
-"""Tests of the fence and of appends whose outcome is not known."""
+"""Tests of fencing and of appends with an unknown outcome."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 from orchidrail.work.model import MemberInfo
 
 _TOPIC = Topic('journal')
-_SOON = 2
+_TIMEOUT = 2
 
 
 def _member(name: str) -> MemberInfo:
@@ -38,7 +38,7 @@
     def _view(self) -> JournalView:
         return JournalView(self.store, _TOPIC)
 
-    async def _take(self, name: str, epoch: int) -> JournalWriter:
+    async def _take_over(self, name: str, epoch: int) -> JournalWriter:
         return await take_over(
             self._view(),
             _member(name),
@@ -47,13 +47,13 @@
         )
 
     def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        asyncio.run(asyncio.wait_for(work, _SOON))
+        asyncio.run(asyncio.wait_for(work, _TIMEOUT))
 
-    def test_one_of_two_contenders_wins(self) -> None:
+    def test_one_of_two_concurrent_takeovers_succeeds(self) -> None:
         async def contend() -> None:
             outcomes = await asyncio.gather(
-                self._take('a', 0),
-                self._take('b', 0),
+                self._take_over('a', 0),
+                self._take_over('b', 0),
                 return_exceptions=True,
             )
             won = [one for one in outcomes if isinstance(one, JournalWriter)]
@@ -63,25 +63,25 @@
 
         self._run(contend())
 
-    def test_a_newer_owner_is_left_alone(self) -> None:
-        async def come_late() -> None:
-            await self._take('a', 0)
-            self.assertEqual(1, (await self._take('b', 1)).owner.epoch - 1)
+    def test_a_newer_owner_is_not_replaced(self) -> None:
+        async def take_over_late() -> None:
+            await self._take_over('a', 0)
+            self.assertEqual(1, (await self._take_over('b', 1)).owner.epoch - 1)
             try:
-                await self._take('c', 1)
+                await self._take_over('c', 1)
             except TakeOverError as error:
                 self.assertIn('expected epoch 1, got 2', str(error))
             else:
                 self.fail('took over from a newer owner')
 
-        self._run(come_late())
+        self._run(take_over_late())
 
-    def test_a_former_owner_writes_nothing_more(self) -> None:
+    def test_a_previous_owner_is_fenced(self) -> None:
         async def replace() -> None:
-            first = await self._take('a', 0)
+            first = await self._take_over('a', 0)
             writing = asyncio.create_task(first.run())
             self.assertTrue(await first.put('x', b'1').wait())
-            second = await self._take('b', 1)
+            second = await self._take_over('b', 1)
             self.assertFalse(await first.put('x', b'2').wait())
             await writing
             self.assertTrue(first.fenced.is_set())
@@ -89,16 +89,16 @@
 
         self._run(replace())
 
-    def test_a_former_owner_that_reads_on_writes_nothing_more(self) -> None:
+    def test_a_previous_owner_that_keeps_reading_is_fenced(self) -> None:
         async def replace() -> None:
-            first = await self._take('a', 0)
+            first = await self._take_over('a', 0)
             writing = asyncio.create_task(first.run())
             self.store.fault = StoreFault.REFUSES
             late = first.put('x', b'1')
             await asyncio.sleep(0.05)
             self.store.fault = None
-            second = await self._take('b', 1)
-            # Its process looks a job up, so its copy goes past the take-over.
+            second = await self._take_over('b', 1)
+            # A job lookup in its process moves the view past the takeover.
             await first.view.catch_up()
             self.assertFalse(await late.wait())
             await writing
@@ -107,25 +107,25 @@
 
         self._run(replace())
 
-    def test_a_take_over_that_is_retried_yields_to_another(self) -> None:
+    def test_a_retried_takeover_yields_to_another(self) -> None:
         async def contend() -> None:
             view = self._view()
             await view.catch_up()
             self.store.fault = StoreFault.REFUSES
             record = [KeyedRecord('owner', b'late')]
-            place = await append_once(view, record, Offset(0))
-            self.assertIs(AppendStatus.NOT_WRITTEN, place)
+            status = await append_once(view, record, Offset(0))
+            self.assertIs(AppendStatus.NOT_WRITTEN, status)
             self.store.fault = None
-            await self._take('b', 0)
+            await self._take_over('b', 0)
             await view.catch_up()
-            place = await append_once(view, record, Offset(0))
-            self.assertIs(AppendStatus.CONFLICT, place)
+            status = await append_once(view, record, Offset(0))
+            self.assertIs(AppendStatus.CONFLICT, status)
 
         self._run(contend())
 
-    def test_an_append_whose_answer_was_lost_is_found(self) -> None:
-        async def lose() -> None:
-            writer = await self._take('a', 0)
+    def test_an_append_with_a_lost_response_is_found(self) -> None:
+        async def lose_response() -> None:
+            writer = await self._take_over('a', 0)
             self.store.fault = StoreFault.LOSES_ANSWERS
             before = self.store.appends
             writing = asyncio.create_task(writer.run())
@@ -133,13 +133,13 @@
             self.assertEqual(before + 1, self.store.appends)
             writing.cancel()
 
-        self._run(lose())
+        self._run(lose_response())
 
-    def test_the_second_batch_after_a_silence_has_all_that_was_done(
+    def test_the_second_batch_after_an_outage_has_all_pending_values(
         self,
     ) -> None:
-        async def be_silent() -> None:
-            writer = await self._take('a', 0)
+        async def fail_appends() -> None:
+            writer = await self._take_over('a', 0)
             writing = asyncio.create_task(writer.run())
             await writer.put('x', b'1').wait()
             self.store.fault = StoreFault.REFUSES
@@ -160,11 +160,11 @@
             self.assertEqual(b'4', view.value_by_key['y'])
             writing.cancel()
 
-        self._run(be_silent())
+        self._run(fail_appends())
 
-    def test_an_append_that_was_swallowed_is_sent_again(self) -> None:
-        async def swallow() -> None:
-            writer = await self._take('a', 0)
+    def test_an_append_dropped_without_a_response_is_resent(self) -> None:
+        async def drop_append() -> None:
+            writer = await self._take_over('a', 0)
             self.store.fault = StoreFault.SWALLOWS
             writing = asyncio.create_task(writer.run())
             commit = writer.put('x', b'1')
@@ -174,15 +174,15 @@
             self.assertTrue(await commit.wait())
             writing.cancel()
 
-        self._run(swallow())
+        self._run(drop_append())
 
-    def test_flush_waits_for_the_batch_that_is_being_written(self) -> None:
+    def test_flush_waits_for_the_batch_in_flight(self) -> None:
         async def flush() -> None:
-            writer = await self._take('a', 0)
+            writer = await self._take_over('a', 0)
             writing = asyncio.create_task(writer.run())
             self.store.fault = StoreFault.REFUSES
             commit = writer.put('x', b'1')
-            # The batch has left the writer's hands but is not in the store.
+            # The batch has been sent but is not in the store.
             await asyncio.sleep(0.05)
             flushing = asyncio.create_task(writer.flush())
             await asyncio.sleep(0.05)
@@ -194,9 +194,9 @@
 
         self._run(flush())
 
-    def test_only_what_was_not_sent_can_be_withdrawn(self) -> None:
+    def test_only_unsent_values_can_be_withdrawn(self) -> None:
         async def withdraw() -> None:
-            writer = await self._take('a', 0)
+            writer = await self._take_over('a', 0)
             writing = asyncio.create_task(writer.run())
             self.store.fault = StoreFault.SWALLOWS
             first = writer.put('x', b'1')
@@ -215,9 +215,9 @@
 
         self._run(withdraw())
 
-    def test_what_the_store_refused_can_be_withdrawn(self) -> None:
+    def test_values_rejected_by_the_store_can_be_withdrawn(self) -> None:
         async def withdraw() -> None:
-            writer = await self._take('a', 0)
+            writer = await self._take_over('a', 0)
             writing = asyncio.create_task(writer.run())
             self.store.fault = StoreFault.REFUSES
             commit = writer.put('x', b'1')
@@ -232,11 +232,11 @@
 
         self._run(withdraw())
 
-    def test_the_owner_can_be_read_alone(self) -> None:
+    def test_the_owner_can_be_read_without_the_journal(self) -> None:
         async def read() -> None:
             view = self._view()
             self.assertIsNone(await read_owner(view))
-            writer = await self._take('a', 0)
+            writer = await self._take_over('a', 0)
             writing = asyncio.create_task(writer.run())
             await writer.put('x', b'1').wait()
             writing.cancel()
@@ -247,9 +247,9 @@
 
         self._run(read())
 
-    def test_the_owner_is_named_in_the_journal(self) -> None:
+    def test_the_journal_names_its_owner(self) -> None:
         async def name() -> None:
-            await self._take('a', 0)
+            await self._take_over('a', 0)
             view = self._view()
             await view.catch_up()
             owner = current_owner(view)
--- a/orchidrail/journal/writer.py
+++ b/orchidrail/journal/writer.py
@@ -1,9 +1,9 @@
-"""Writing a journal as its one owner, fenced by the expected end.
+"""Writing a journal as its single owner, fenced by the expected end.
 
-Every append names the end that this owner has read. So an append of anybody
-else makes the next one fail, and a former owner can't write after a take-over.
-An append without an answer is sent again unchanged until a read shows it, or
-shows another's record in its place.
+Every append names the end that this owner has read. So an append by any other
+process makes the next one fail, and a previous owner can't write after a
+takeover. An append without a response is resent unchanged until a read finds
+it, or another writer's record at its offset.
 """
 
 from __future__ import annotations
@@ -39,62 +39,64 @@
     from orchidrail.work.model import MemberInfo
 
 _log = structlog.get_logger()
-#: Pause between tries at a store that refuses; its calls have a price.
+#: Pause between retries while the store rejects calls; each call is charged.
 _RETRY_PAUSE: Seconds = 0.1
-#: Least time between two appends: each call has a price, each wait delays.
+#: Minimum time between two appends. Each call is charged, and each wait adds
+#: to the latency.
 _APPEND_INTERVAL: Seconds = 0.008
-#: An owner writes at least this often, so that it knows that it still owns.
+#: An owner writes at least this often to confirm its ownership.
 CONFIRM_INTERVAL: Seconds = 0.2
-#: A confirmation counts for this long. Others take over without being asked
-#: only from a journal that has stood still for 0.3 s.
-_CONFIRMED_FOR: Seconds = 0.25
-#: Most bytes of values put into one append; the store takes 2 MB in a call.
-_BATCH_BYTES = 1_000_000
+#: How long a confirmation is valid. Unless asked, other processes take over
+#: only a journal without a new record for 0.3 s.
+_CONFIRMATION_VALIDITY: Seconds = 0.25
+#: Bytes of values after which an append is split; the store accepts 2 MB in
+#: one call.
+_MAX_CHUNK_BYTES = 1_000_000
 
 
 class TakeOverError(Exception):
-    """The journal was not taken over; the text says why."""
+    """The takeover of a journal failed; the message gives the reason."""
 
 
 class Commit:
-    """The end of one batch, awaited by those whose records are in it."""
+    """Outcome of one batch, awaited by the callers that put records in it."""
 
     def __init__(self) -> None:
         """Start undecided."""
-        #: Whether its records may be in the store, or may still get there.
+        #: Whether its records are, or may still get, into the store.
         self.may_be_written = False
-        self._decided: asyncio.Future[bool] = (
+        self._outcome: asyncio.Future[bool] = (
             asyncio.get_running_loop().create_future()
         )
 
     def decide(self, committed: bool) -> None:
-        """Tell all who wait; later calls change nothing."""
-        if not self._decided.done():
-            self._decided.set_result(committed)
+        """Set the outcome; later calls have no effect."""
+        if not self._outcome.done():
+            self._outcome.set_result(committed)
 
     @property
     def committed(self) -> bool:
         """Whether the batch is known to be in the store."""
-        return self._decided.done() and self._decided.result()
+        return self._outcome.done() and self._outcome.result()
 
     async def wait(self) -> bool:
-        """Return whether the batch is in the store, once that is known."""
-        return await asyncio.shield(self._decided)
+        """Wait for the outcome; return whether the batch is in the store."""
+        return await asyncio.shield(self._outcome)
 
     def on_decided(self, callback: Callable[[bool], None]) -> None:
-        """Call back with the outcome, once that is known."""
-        self._decided.add_done_callback(
+        """Call `callback` with the outcome once it is known."""
+        self._outcome.add_done_callback(
             lambda decided: callback(decided.result())
         )
 
 
 class JournalWriter:
-    """The owner's end of a journal; `take_over` makes one.
+    """Writes a journal as its owner; created by `take_over`.
 
     Parameters
     ----------
     view : JournalView
-        Read up to the owner's own record.
+        Caught up to the owner's own record.
     owner : OwnerRecord
     clock : callable
         Monotonic seconds.
@@ -109,67 +111,67 @@
         clock: Callable[[], Seconds],
         end: Offset,
     ) -> None:
-        """Start right after the take-over."""
+        """Start right after the takeover."""
         self.view = view
         self.owner = owner
-        #: End of this owner's own records. The view's end won't do: others in
-        #: this process read on, past the record of the next owner.
+        #: End of this owner's own records. The view's end can't be used: other
+        #: readers in this process move it past the next owner's record.
         self._end = end
         self.fenced = asyncio.Event()
         #: When the last append that succeeded was sent.
         self.confirmed_at = clock()
-        #: Why the last try failed, empty while appends succeed.
+        #: Why the last attempt failed, empty while appends succeed.
         self.last_error = ''
         self._clock = clock
         self._value_by_key: dict[str, bytes] = {}
         self._bytes = 0
         self._commit = Commit()
-        #: The batch before the one that is being filled.
+        #: The batch before the one being filled.
         self._in_flight = Commit()
         self._in_flight.decide(committed=True)
-        self._wanted = asyncio.Event()
-        #: Records that the store has refused and that are sent again.
-        self._refused: list[KeyedRecord] = []
+        self._work_available = asyncio.Event()
+        #: Records rejected by the store that are to be resent.
+        self._rejected: list[KeyedRecord] = []
 
     def put(self, key: str, value: bytes) -> Commit:
-        """Write a value soon; an empty one removes the key."""
+        """Queue a value for the next append; an empty one removes the key."""
         self._value_by_key[key] = value
         self._bytes += len(value)
-        self._wanted.set()
+        self._work_available.set()
         if self.fenced.is_set():
             self._commit.decide(committed=False)
         return self._commit
 
     def withdraw(self, key: str) -> bool:
-        """Take a value back if it is certainly not in the store.
+        """Withdraw a value; return False if it may be in the store.
 
-        It is then in the batch that is being filled, or in an append that the
-        store has refused so far.
+        A value can be withdrawn from the batch being filled, and from an append
+        that the store has rejected so far.
         """
         value = self._value_by_key.pop(key, None)
         if value is not None:
             self._bytes -= len(value)
             return True
-        kept = [record for record in self._refused if record.key != key]
-        withdrawn = len(kept) < len(self._refused)
-        self._refused = kept
+        remaining = [record for record in self._rejected if record.key != key]
+        withdrawn = len(remaining) < len(self._rejected)
+        self._rejected = remaining
         return withdrawn
 
     @property
     def waiting_bytes(self) -> int:
-        """Bytes of the values that wait for the next append."""
+        """Total size of the values queued for the next append, in bytes."""
         return self._bytes
 
     def unconfirmed_for(self) -> Seconds:
-        """Return for how long the ownership has not been confirmed."""
+        """Return the seconds since ownership was last confirmed."""
         return self._clock() - self.confirmed_at
 
     async def confirm(self, within: Seconds) -> bool:
-        """Tell whether this owner still owns; ask the store if need be.
+        """Return whether this is still the owner; append if unconfirmed.
 
-        A process that was paused may have been replaced meanwhile.
+        A process that was paused may have been replaced in the meantime.
         """
-        if self.unconfirmed_for() < _CONFIRMED_FOR:
+        if self.unconfirmed_for() < _CONFIRMATION_VALIDITY:
             return not self.fenced.is_set()
         commit = self.put(OWNER_KEY, encode(self.owner))
         try:
@@ -178,21 +180,23 @@
             return False
 
     async def run(self) -> None:
-        """Write batches until another owner is met."""
+        """Write batches until fenced by another owner."""
         while not self.fenced.is_set():
             await self._wait_for_work()
             await self._write_batch()
             await asyncio.sleep(_APPEND_INTERVAL)
 
     async def flush(self) -> bool:
-        """Wait until all that was put before is written; tell whether it is."""
+        """Wait for all values put so far; return whether they are written."""
         if self._value_by_key:
             return await self._commit.wait()
         return await self._in_flight.wait()
 
     async def _wait_for_work(self) -> None:
         try:
-            await asyncio.wait_for(self._wanted.wait(), CONFIRM_INTERVAL)
+            await asyncio.wait_for(
+                self._work_available.wait(), CONFIRM_INTERVAL
+            )
         except (TimeoutError, asyncio.TimeoutError):
             self._value_by_key.setdefault(OWNER_KEY, encode(self.owner))
 
@@ -205,7 +209,7 @@
         self._value_by_key = {}
         self._bytes = 0
         self._commit = Commit()
-        self._wanted.clear()
+        self._work_available.clear()
         for chunk in _chunks(records):
             if not await self._append(chunk, commit):
                 self._mark_fenced(commit)
@@ -222,28 +226,28 @@
         records: list[KeyedRecord],
         commit: Commit,
     ) -> bool:
-        """Append, however long it takes; False if another owner wrote.
+        """Append, with unlimited retries; False if another owner wrote.
 
-        What the store refuses may be withdrawn before the next try; what may
-        have got there is sent again unchanged.
+        Records that the store rejected may be withdrawn before the next
+        attempt; records that may have reached it are resent unchanged.
         """
         written_before = commit.may_be_written
-        doubtful = False
+        uncertain = False
         while True:
             commit.may_be_written = True
             sent_at = self._clock()
-            place = await append_once(self.view, records, self._end)
-            if place in FINAL_STATUSES:
+            status = await append_once(self.view, records, self._end)
+            if status in FINAL_STATUSES:
                 self.last_error = ''
                 break
-            self.last_error = 'no append taken'
-            doubtful = doubtful or place is AppendStatus.UNKNOWN
-            commit.may_be_written = doubtful or written_before
-            self._refused = [] if commit.may_be_written else records
+            self.last_error = 'append not accepted'
+            uncertain = uncertain or status is AppendStatus.UNKNOWN
+            commit.may_be_written = uncertain or written_before
+            self._rejected = [] if commit.may_be_written else records
             await asyncio.sleep(_RETRY_PAUSE)
-            records = records if commit.may_be_written else self._refused
-            self._refused = []
-        if place is AppendStatus.CONFLICT:
+            records = records if commit.may_be_written else self._rejected
+            self._rejected = []
+        if status is AppendStatus.CONFLICT:
             commit.may_be_written = written_before
             return False
         self._end = Offset(self._end + len(records))
@@ -262,12 +266,12 @@
     Parameters
     ----------
     expected_epoch : int
-        Epoch of the owner to be replaced; a newer one is left alone.
+        Epoch of the owner to replace; a newer owner is not replaced.
 
     Raises
     ------
     TakeOverError
-        If the store can't be read or written, or another was faster.
+        If the store can't be read, or if another process wrote first.
     """
     if not await view.catch_up():
         raise TakeOverError('the store can not be read')
@@ -284,43 +288,43 @@
     record = KeyedRecord(OWNER_KEY, encode(owner))
     assert view.end is not None
     expected = view.end
-    place = await append_once(view, [record], expected)
-    while place not in FINAL_STATUSES:
+    status = await append_once(view, [record], expected)
+    while status not in FINAL_STATUSES:
         await asyncio.sleep(_RETRY_PAUSE)
-        place = await append_once(view, [record], expected)
-    if place is AppendStatus.CONFLICT:
+        status = await append_once(view, [record], expected)
+    if status is AppendStatus.CONFLICT:
         raise TakeOverError('another process wrote first')
     return JournalWriter(view, owner, clock, Offset(expected + 1))
 
 
 def highest_fence(view: JournalView) -> Epoch:
-    """Return the highest fencing token that a journal names, 0 if none."""
-    kept = view.value_by_key.get(FENCE_KEY)
-    return Epoch(0) if kept is None else decode_fence(kept)
+    """Return the highest fencing token in the journal, 0 if there is none."""
+    value = view.value_by_key.get(FENCE_KEY)
+    return Epoch(0) if value is None else decode_fence(value)
 
 
 async def read_owner(view: JournalView) -> OwnerRecord | None:
-    """Read who owns, and nothing else; None if nobody does or can be told."""
+    """Read the owner record only; None if there is none or it is unknown."""
     page = await view.store.latest(view.topic, BEFORE_OWNER_KEY)
     if isinstance(page, Unavailable):
         return None
     values = (one.value for one in page.records if one.key == OWNER_KEY)
-    kept = next(values, None)
-    return None if kept is None else decode_owner(kept)
+    raw = next(values, None)
+    return None if raw is None else decode_owner(raw)
 
 
 def current_owner(view: JournalView) -> OwnerRecord | None:
-    """Return the owner named by what was read, if any."""
-    kept = view.value_by_key.get(OWNER_KEY)
-    return None if kept is None else decode_owner(kept)
+    """Return the owner in the records read so far, if any."""
+    value = view.value_by_key.get(OWNER_KEY)
+    return None if value is None else decode_owner(value)
 
 
 def _chunks(records: list[KeyedRecord]) -> list[list[KeyedRecord]]:
-    """Split into parts that one call may carry, in order."""
+    """Split records, in order, into chunks small enough for one call."""
     chunks: list[list[KeyedRecord]] = [[]]
     size = 0
     for record in records:
-        if size > _BATCH_BYTES:
+        if size > _MAX_CHUNK_BYTES:
             chunks.append([])
             size = 0
         chunks[-1].append(record)
