--- a/orchidrail/jobs/__init__.py
+++ b/orchidrail/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Accepted jobs: the log's records, and the attempts of their tasks."""
+"""Accepted jobs: their log records, and the attempts of their tasks."""
--- a/orchidrail/jobs/attempts.py
+++ b/orchidrail/jobs/attempts.py
@@ -1,4 +1,4 @@
-"""Names of the attempts of a job's tasks, and the notes of their claims."""
+"""Keys of the attempts of a job's tasks, and the data of their claims."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from orchidrail.keys import claim_of
 from orchidrail.types import Address, JobId, TaskId, WorkerId
 
-_FIELDS = 3
+_KEY_FIELDS = 3
 
 
 class Attempt(NamedTuple):
-    """One attempt of one group of tasks that start together.
+    """One attempt of one group of tasks that are started together.
 
     Examples
     --------
@@ -34,9 +34,9 @@
 
     @classmethod
     def parse(cls, text: str) -> Attempt | None:
-        """Read the attempt out of a task's or claim's key."""
+        """Parse the key of a task or of a claim; None if it is neither."""
         fields = text.removeprefix('claim/').split('#')
-        if len(fields) != _FIELDS:
+        if len(fields) != _KEY_FIELDS:
             return None
         generation, _, number = fields[2].split('/')[0].partition('.')
         return cls(
@@ -48,7 +48,7 @@
 
 
 class ClaimNote(NamedTuple):
-    """Where a claimed task may run; kept with the claim."""
+    """Where a claimed task may run; stored with the claim."""
 
     worker: WorkerId
     boot: str
@@ -57,31 +57,31 @@
 
     @property
     def text(self) -> str:
-        """The note as it is kept."""
+        """The stored form."""
         return ' '.join(self)
 
     @classmethod
     def parse(cls, text: str) -> ClaimNote:
-        """Read a note back."""
+        """Parse the stored form."""
         worker, boot, address, task = text.split(' ')
         return cls(WorkerId(worker), boot, Address(address), TaskId(task))
 
 
 def recovered_marker(job: JobId, generation: int) -> TaskId:
-    """Return the key of the mark that all earlier claims were copied."""
+    """Return the key of the marker that all earlier claims were copied."""
     return TaskId(f'recovered/{job}/{generation}')
 
 
 def refused_marker(job: JobId, generation: int) -> TaskId:
-    """Return the key of the mark that an owner found the job refused."""
+    """Return the key of the marker that an owner found the job refused."""
     return TaskId(f'ended/{job}/refused/{generation}')
 
 
 def ended_marker(job: JobId) -> TaskId:
-    """Return the key of the mark that a job has ended."""
+    """Return the key of the marker that a job has ended."""
     return TaskId(f'ended/{job}')
 
 
 def job_claim(job: JobId) -> TaskId:
-    """Return the key of the claim that a job was taken up."""
+    """Return the key of the claim that a job was accepted."""
     return claim_of(TaskId(job))
--- a/orchidrail/jobs/book.py
+++ b/orchidrail/jobs/book.py
@@ -21,35 +21,35 @@
 from orchidrail.logstream.group_commit import split_group
 from orchidrail.types import JobId, Offset, Seconds, WorkerId
 
-#: Ended jobs that are remembered for their callers.
-_ENDED_KEPT = 10_000
+#: Ended jobs that are retained for status queries.
+_MAX_ENDED_JOBS = 10_000
 _log = structlog.get_logger()
 
 
 class JobEntry:
-    """A job as the log tells of it."""
+    """State of a job according to the log."""
 
     def __init__(self, accepted: JobAccepted) -> None:
-        """Take the job as accepted."""
+        """Start from the record of the acceptance."""
         self.spec = accepted.job
         self.generation = accepted.generation
         spec = accepted.job
         self.witness = Witness(spec.witness, spec.witness_boot)
         self.backup = Witness(spec.backup, spec.backup_boot)
-        #: The witnesses of earlier generations, the newest first.
+        #: Witnesses of earlier generations, the newest first.
         self.former: tuple[WitnessPair, ...] = tuple(accepted.former)
         if accepted.witness:
             self.witness = Witness(accepted.witness, accepted.witness_boot)
             self.backup = Witness(accepted.backup, accepted.backup_boot)
         self.cancelled = accepted.cancelled
         self.ended: JobEnded | None = None
-        #: Set by the owner if both witnesses of a generation were lost.
+        #: Set by the owner if both witnesses of a generation are lost.
         self.claims_lost = False
-        #: The log's time of the newest record that tells the whole job.
+        #: Log time of the newest record that holds the whole job.
         self.kept_at: Seconds = 0
 
     def as_record(self) -> JobAccepted:
-        """Return the record that tells the whole job again."""
+        """Return a record that holds the whole job."""
         return JobAccepted(
             job=self.spec,
             generation=self.generation,
@@ -61,8 +61,8 @@
             former=list(self.former),
         )
 
-    def take_newer(self, accepted: JobAccepted) -> None:
-        """Take a record of a later generation than the one known."""
+    def apply_newer(self, accepted: JobAccepted) -> None:
+        """Apply a record of a later generation than the current one."""
         self.generation = accepted.generation
         self.witness = Witness(accepted.witness, accepted.witness_boot)
         self.backup = Witness(accepted.backup, accepted.backup_boot)
@@ -70,7 +70,7 @@
 
 
 class JobBook:
-    """All jobs of one zone that the log still tells of.
+    """All jobs of one zone that the log still holds.
 
     Parameters
     ----------
@@ -86,10 +86,10 @@
         self.entry_by_job: dict[JobId, JobEntry] = {}
         self.open_jobs: set[JobId] = set()
         self.log_time: Seconds = 0
-        #: Jobs whose acceptance was appended again after their end or move:
-        #: a reader of the trimmed log would take it for the last word.
+        #: Jobs whose acceptance was appended again after their end or move. A
+        #: reader of the trimmed log would treat it as the current state.
         self.outdated: set[JobId] = set()
-        self._ended: dict[JobId, None] = {}
+        self._ended_jobs: dict[JobId, None] = {}
         self._on_change = on_change or (lambda _job: None)
 
     def apply(self, record: LogRecord) -> None:
@@ -99,12 +99,12 @@
             try:
                 parsed = decode_record(payload)
             except msgspec.MsgspecError as error:
-                _log.warning('not a job record', error=str(error))
+                _log.warning('invalid job record skipped', error=str(error))
                 continue
             self._fold(parsed, record)
 
     def note_gap(self, first: Offset) -> None:
-        """See `Fold.note_gap`; open jobs are appended again before it."""
+        """See `Fold.note_gap`; open jobs are appended again before a gap."""
 
     def witnessed_by(self, worker: WorkerId) -> list[JobEntry]:
         """Return the open jobs that have `worker` as their witness."""
@@ -112,11 +112,11 @@
         return [entry for entry in entries if entry.witness.worker == worker]
 
     @singledispatchmethod
-    def _fold(self, record: JobRecord, where: LogRecord) -> None:
+    def _fold(self, record: JobRecord, source: LogRecord) -> None:
         raise TypeError(f'expected a job record, got {record!r}')
 
     @_fold.register
-    def _(self, record: JobAccepted, where: LogRecord) -> None:
+    def _(self, record: JobAccepted, source: LogRecord) -> None:
         known = self.entry_by_job.get(record.job.key)
         if known is None:
             known = JobEntry(record)
@@ -124,29 +124,31 @@
             self.open_jobs.add(record.job.key)
             self._on_change(record.job.key)
         elif record.generation > known.generation:
-            known.take_newer(record)
+            known.apply_newer(record)
             self._on_change(record.job.key)
         if known.ended is not None or record.generation < known.generation:
             self.outdated.add(record.job.key)
         else:
             self.outdated.discard(record.job.key)
-            known.kept_at = where.at
+            known.kept_at = source.at
 
     @_fold.register
-    def _(self, record: JobMoved, where: LogRecord) -> None:
+    def _(self, record: JobMoved, source: LogRecord) -> None:
         entry = self.entry_by_job.get(record.job)
         if entry is None or entry.generation + 1 != record.generation:
             return
         entry.generation = record.generation
-        # Until the new owner has copied the claims, they are kept there.
-        past = WitnessPair(record.generation - 1, entry.witness, entry.backup)
-        entry.former = (past, *entry.former)
+        # The claims stay at these witnesses until the new owner copies them.
+        previous = WitnessPair(
+            record.generation - 1, entry.witness, entry.backup
+        )
+        entry.former = (previous, *entry.former)
         entry.witness = Witness(record.witness, record.witness_boot)
         entry.backup = Witness(record.backup, record.backup_boot)
         self._on_change(record.job)
 
     @_fold.register
-    def _(self, record: JobEnded, where: LogRecord) -> None:
+    def _(self, record: JobEnded, source: LogRecord) -> None:
         entry = self.entry_by_job.get(record.job)
         if entry is None:
             return
@@ -155,19 +157,19 @@
             return
         entry.ended = record
         self.open_jobs.discard(record.job)
-        self._ended[record.job] = None
-        self._forget_oldest()
+        self._ended_jobs[record.job] = None
+        self._evict_oldest()
         self._on_change(record.job)
 
     @_fold.register
-    def _(self, record: JobCancelled, where: LogRecord) -> None:
+    def _(self, record: JobCancelled, source: LogRecord) -> None:
         entry = self.entry_by_job.get(record.job)
         if entry is not None:
             entry.cancelled = True
             self._on_change(record.job)
 
-    def _forget_oldest(self) -> None:
-        while len(self._ended) > _ENDED_KEPT:
-            oldest = next(iter(self._ended))
-            self._ended.pop(oldest)
+    def _evict_oldest(self) -> None:
+        while len(self._ended_jobs) > _MAX_ENDED_JOBS:
+            oldest = next(iter(self._ended_jobs))
+            self._ended_jobs.pop(oldest)
             self.entry_by_job.pop(oldest, None)
--- a/orchidrail/jobs/owned_job.py
+++ b/orchidrail/jobs/owned_job.py
@@ -1,4 +1,4 @@
-"""A job whose witness this scheduler holds: its groups and their rules."""
+"""A job whose witness this scheduler holds: task groups and retry rules."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     FINISHED = 'finished'
     #: A task ran and reported failure.
     FAILED = 'failed'
-    #: Known not to have finished: stopped, preempted or never started.
+    #: Certainly not finished: stopped, preempted or never started.
     STOPPED = 'stopped'
-    #: Its worker is gone; whether it finished can't be known.
+    #: Its worker is gone; whether the task finished can't be known.
     LOST = 'lost'
 
 
 class OutcomeAction(Enum):
-    """What follows from an ending."""
+    """What to do after an attempt."""
 
     KEEP = 'keep'
     RETRY = 'retry'
@@ -38,7 +38,7 @@
     FAIL_MAY_HAVE_RUN = 'failMayHaveRun'
 
 
-#: By ending, and whether the class may be repeated.
+#: By outcome, and whether tasks of the work class may be repeated.
 ACTION_BY_OUTCOME: dict[tuple[AttemptOutcome, bool], OutcomeAction] = {
     (AttemptOutcome.FINISHED, True): OutcomeAction.KEEP,
     (AttemptOutcome.FINISHED, False): OutcomeAction.KEEP,
@@ -50,13 +50,13 @@
     (AttemptOutcome.LOST, False): OutcomeAction.FAIL_MAY_HAVE_RUN,
 }
 
-_ENDING_BY_STATE = {
+_OUTCOME_BY_STATE = {
     TaskState.FINISHED: AttemptOutcome.FINISHED,
     TaskState.FAILED: AttemptOutcome.FAILED,
     TaskState.STOPPED: AttemptOutcome.STOPPED,
     TaskState.NEVER_STARTED: AttemptOutcome.STOPPED,
 }
-#: The worst of a group's endings decides for the group.
+#: The worst outcome among its tasks is the outcome of a group.
 _SEVERITY = (
     AttemptOutcome.FINISHED,
     AttemptOutcome.STOPPED,
@@ -66,14 +66,14 @@
 
 
 def outcome_of(report: TaskReport | None) -> AttemptOutcome:
-    """Return how one task ended; None stands for a worker that is gone."""
+    """Return how one task ended; a report of None means a lost worker."""
     if report is None:
         return AttemptOutcome.LOST
-    return _ENDING_BY_STATE[report.state]
+    return _OUTCOME_BY_STATE[report.state]
 
 
-def worst_outcome(endings: list[AttemptOutcome]) -> AttemptOutcome:
-    """Return the ending that decides for a whole group.
+def worst_outcome(outcomes: list[AttemptOutcome]) -> AttemptOutcome:
+    """Return the outcome of a whole group.
 
     Examples
     --------
@@ -86,35 +86,35 @@
     ... )
     <AttemptOutcome.LOST: 'lost'>
     """
-    return max(endings, key=_SEVERITY.index)
+    return max(outcomes, key=_SEVERITY.index)
 
 
 class TaskGroup:
-    """Tasks of a job that start together; a single one unless a gang.
+    """Tasks of a job that are started together; one task unless a gang.
 
     Attributes
     ----------
     generation, number : int
-        Of the current attempt, or of the last one.
+        Of the current attempt, or else of the last one.
     notes : list of ClaimNote
-        Where the current attempt's tasks are claimed to run.
+        Where the tasks of the current attempt may run, by their claims.
     """
 
     def __init__(self, index: int, size: int) -> None:
-        """Start with no attempt made."""
+        """Start without an attempt."""
         self.index = index
         self.size = size
         self.generation = 0
         self.number = 0
         self.failures = 0
-        #: Attempts in a row whose worker was gone.
+        #: Consecutive attempts that were lost with a worker.
         self.losses = 0
         self.done = False
         self.running = False
         self.notes: list[ClaimNote] = []
         self.checkpoints = ['' for _ in range(size)]
         self.answers: list[str] = []
-        #: Workers where an attempt has failed.
+        #: Workers on which an attempt has failed.
         self.avoid: frozenset[WorkerId] = frozenset()
 
     def count_failure(self, reports: list[TaskReport | None]) -> None:
@@ -126,9 +126,9 @@
             if report is not None and report.state is TaskState.FAILED
         }
 
-    def count_loss(self, ending: AttemptOutcome) -> None:
-        """Count attempts in a row that ended with a worker."""
-        self.losses = self.losses + 1 if ending is AttemptOutcome.LOST else 0
+    def count_loss(self, outcome: AttemptOutcome) -> None:
+        """Count consecutive attempts that were lost with a worker."""
+        self.losses = self.losses + 1 if outcome is AttemptOutcome.LOST else 0
 
     def take_reports(
         self,
@@ -136,7 +136,7 @@
         *,
         done: bool,
     ) -> None:
-        """Keep the answers of a finished attempt, or its checkpoints."""
+        """Store the checkpoints of an attempt, and its answers if done."""
         known = [report for report in reports if report is not None]
         self.done = done
         if done:
@@ -146,25 +146,25 @@
 
 
 class OwnedJob:
-    """One job and its groups.
+    """One job and its task groups.
 
     Parameters
     ----------
     entry : JobEntry
-        The job as the log tells of it.
+        State of the job according to the log.
     kind : WorkKind
-        A gang is one group, other jobs have a group for each task.
+        A gang is one group; other jobs have one group for each task.
     """
 
     def __init__(self, entry: JobEntry, kind: WorkKind) -> None:
-        """Start with nothing run."""
+        """Start without attempts."""
         self.entry = entry
-        #: As they were when the job was taken up.
+        #: Generation and witness when this scheduler took ownership.
         self.generation = entry.generation
         self.witness = entry.witness
         self.state = JobState.QUEUED
         self.detail = ''
-        #: Refused to its caller before it was kept.
+        #: Refused to the caller before its acceptance was durable.
         self.refused = False
         self.cancelling = asyncio.Event()
         self.task: asyncio.Task[None] | None = None
@@ -175,7 +175,7 @@
             self.groups = [TaskGroup(index, 1) for index in range(count)]
 
     def recall(self, claims: list[TaskReport]) -> None:
-        """Take up the last attempts that the witnesses keep claims of."""
+        """Restore the latest attempts from the claims of the witnesses."""
         for claim in claims:
             attempt = Attempt.parse(claim.key)
             if attempt is None:
@@ -191,7 +191,7 @@
                 group.notes.append(note)
 
     def next_attempt(self, group: TaskGroup) -> Attempt:
-        """Begin another attempt of a group and return its name."""
+        """Begin another attempt of a group and return it."""
         group.number += 1
         group.generation = self.entry.generation
         group.notes = []
@@ -203,7 +203,7 @@
         )
 
     def status(self, owner: SchedulerId) -> JobStatus:
-        """Return what callers are told."""
+        """Return the status reported to callers."""
         answers = [text for group in self.groups for text in group.answers]
         return JobStatus(
             key=self.entry.spec.key,
--- a/orchidrail/jobs/records.py
+++ b/orchidrail/jobs/records.py
@@ -1,4 +1,4 @@
-"""Records of a zone's stream of jobs."""
+"""Records of a zone's job stream."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 
     job: JobSpec
     generation: int = 0
-    #: The witnesses of that generation, if they aren't those first chosen.
+    #: Witnesses of that generation, if they differ from those in the job spec.
     witness: WorkerId = WorkerId('')
     witness_boot: str = ''
     backup: WorkerId = WorkerId('')
     backup_boot: str = ''
     cancelled: bool = False
-    #: The witnesses of earlier generations, the newest first.
+    #: Witnesses of earlier generations, the newest first.
     former: list[WitnessPair] = []
 
 
 class JobMoved(_Record, frozen=True, tag='moved'):
-    """A job has new witnesses, an old one being gone or leaving.
+    """A job has new witnesses, since an old one is gone or leaving.
 
-    Takes effect only as the next generation; the log's order decides between
-    several.
+    Takes effect only if it is the next generation; of several such records the
+    first in the log wins.
     """
 
     job: JobId
@@ -50,18 +50,18 @@
 
 
 class JobEnded(_Record, frozen=True, tag='ended'):
-    """A job's final state."""
+    """Final state of a job."""
 
     job: JobId
     state: JobState
     detail: str = ''
     answers: list[str] = []
-    #: It was refused to its caller before it was kept: none of it ever ran.
+    #: The caller was refused before the job was stored: none of it ever ran.
     refused: bool = False
 
 
 class JobCancelled(_Record, frozen=True, tag='cancelled'):
-    """The caller wants the job to end."""
+    """The caller has requested cancellation."""
 
     job: JobId
 
@@ -80,6 +80,6 @@
     Raises
     ------
     msgspec.DecodeError
-        If it holds none.
+        If `payload` is not a valid record.
     """
     return msgspec.json.decode(payload, type=JobRecord)
--- a/orchidrail/jobs/tests/test_book.py
+++ b/orchidrail/jobs/tests/test_book.py
@@ -1,4 +1,4 @@
-"""Tests of the fold of job records, also of a trimmed log."""
+"""Tests of the fold of job records, including those of a trimmed log."""
 
 from __future__ import annotations
 
@@ -54,14 +54,14 @@
 
 class JobBookTest(testtools.TestCase):
     def fold(self, *records: JobRecord) -> JobBook:
-        """Fold records, one an append."""
+        """Fold records, each in an append of its own."""
         book = JobBook()
         for offset, record in enumerate(records):
             payload = msgspec.json.encode([encode_record(record)]).decode()
             book.apply(LogRecord(Offset(offset), offset, payload))
         return book
 
-    def test_a_double_acceptance_is_one_job(self) -> None:
+    def test_a_repeated_acceptance_is_one_job(self) -> None:
         book = self.fold(_ACCEPTED, _ACCEPTED)
         self.assertEqual({_JOB}, book.open_jobs)
         self.assertEqual(set(), book.outdated)
@@ -70,8 +70,8 @@
         book = self.fold(_ACCEPTED, _moved(1, 'w-3'), _moved(1, 'w-4'))
         self.assertEqual('w-3', book.entry_by_job[_JOB].witness.worker)
 
-    def test_a_job_is_told_again_whole(self) -> None:
-        """A reader of the trimmed log knows the former witnesses, too."""
+    def test_a_reappended_record_holds_the_whole_job(self) -> None:
+        """A reader of the trimmed log also needs the earlier witnesses."""
         full = self.fold(_ACCEPTED, _moved(1, 'w-3'), _moved(2, 'w-4'))
         again = self.fold(full.entry_by_job[_JOB].as_record())
         for book in (full, again):
@@ -80,7 +80,7 @@
             self.assertEqual('w-4', entry.witness.worker)
             self.assertEqual([1, 0], [one.generation for one in entry.former])
 
-    def test_a_late_old_record_is_not_the_last_word(self) -> None:
+    def test_an_outdated_acceptance_is_detected(self) -> None:
         for records in (
             (_ACCEPTED, _ENDED, _ACCEPTED),
             (_ACCEPTED, _moved(1, 'w-3'), _ACCEPTED),
@@ -93,12 +93,12 @@
             book.apply(LogRecord(Offset(9), 9, payload))
             self.assertEqual(set(), book.outdated)
 
-    def test_a_newer_generation_replaces_an_old_record(self) -> None:
+    def test_a_newer_generation_replaces_an_older_one(self) -> None:
         newer = self.fold(_ACCEPTED, _moved(1, 'w-3')).entry_by_job[_JOB]
         book = self.fold(_ACCEPTED, newer.as_record())
         self.assertEqual(1, book.entry_by_job[_JOB].generation)
 
-    def test_garbage_changes_nothing(self) -> None:
+    def test_invalid_payloads_are_ignored(self) -> None:
         book = JobBook()
         for payload in ('', '{}', '["x"]', '[7]'):
             book.apply(LogRecord(Offset(0), 0, payload))
--- a/orchidrail/jobs/witnesses.py
+++ b/orchidrail/jobs/witnesses.py
@@ -1,4 +1,4 @@
-"""The workers that keep the claims of a job."""
+"""Witnesses: the workers that store the claims of a job."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Witness(NamedTuple):
-    """A worker that keeps the claims of a job, at one of its starts."""
+    """One boot of a worker that stores the claims of a job."""
 
     worker: WorkerId
     boot: str
 
 
 class WitnessPair(NamedTuple):
-    """The two workers that keep a generation's claims; either has all."""
+    """The two workers that store a generation's claims; each has all."""
 
     generation: int
     witness: Witness
--- a/orchidrail/leasing/__init__.py
+++ b/orchidrail/leasing/__init__.py
@@ -1,1 +1,1 @@
-"""The worker lease: who may act on a worker, and what it has promised."""
+"""Worker leases: who may act on a worker, and what it has allocated."""
--- a/orchidrail/leasing/lease.py
+++ b/orchidrail/leasing/lease.py
@@ -1,8 +1,8 @@
-"""A worker's lease as its holder counts it.
+"""A worker's lease as seen by its holder.
 
-The holder counts from before it sent the renewal, less a drift margin; the
-worker counts from when it got it. So the holder's reading always ends first,
-also after the holder was paused.
+The holder measures the lease from before it sent the renewal, less a margin
+for clock drift; the worker measures it from when the renewal arrived. So the
+lease always expires first at the holder, also after the holder was paused.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 from orchidrail.types import Epoch, Seconds
 
-#: Assumed bound on how much faster one monotonic clock runs than another.
+#: Assumed maximum fraction by which one monotonic clock outruns another.
 MAX_CLOCK_DRIFT = 0.01
 
 
@@ -23,11 +23,11 @@
     epoch : Epoch
         Given by the worker at acquisition.
     sequence : int
-        Number of the renewal that this reading counts from.
+        Number of the latest renewal granted.
     sent_at : float
         Monotonic time in seconds just before that renewal was sent.
     ttl : float
-        Seconds that the renewal asked for.
+        Seconds that the renewal requested.
 
     Examples
     --------
@@ -44,11 +44,11 @@
     ttl: Seconds
 
     def remaining(self, now: Seconds) -> Seconds:
-        """Return how long the authority still lasts, never below zero."""
+        """Return the seconds until the lease expires, never below zero."""
         return max(0, self.sent_at + self.ttl * (1 - MAX_CLOCK_DRIFT) - now)
 
     def valid(self, now: Seconds) -> bool:
-        """Tell whether the holder may act at monotonic time `now`."""
+        """Return whether the holder may act at monotonic time `now`."""
         return self.remaining(now) > 0
 
     def renewed(self, sequence: int, sent_at: Seconds) -> HeldLease:
@@ -58,5 +58,5 @@
         return msgspec.structs.replace(self, sequence=sequence, sent_at=sent_at)
 
     def ended(self) -> HeldLease:
-        """Return the lease without any authority left."""
+        """Return the lease, expired."""
         return msgspec.structs.replace(self, ttl=0)
--- a/orchidrail/leasing/ledger.py
+++ b/orchidrail/leasing/ledger.py
@@ -1,7 +1,7 @@
-"""What a holder has promised of one worker.
+"""Capacity that a holder has allocated on one worker.
 
-Room is taken before a start is sent and given back only on a proof that the
-task holds nothing at the worker any more.
+Capacity is allocated before a start is sent, and released only on proof that
+the task uses no more resources of the worker.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Proof(Enum):
-    """Why room may be given back."""
+    """Why capacity may be released."""
 
     ENDED = 'ended'
     NEVER_SENT = 'neverSent'
@@ -23,17 +23,17 @@
 
 
 def proof_of(state: TaskState) -> Proof | None:
-    """Return the proof that a worker's report gives, if it gives one."""
+    """Return the proof that a reported task state gives, if any."""
     return Proof.ENDED if state in FINAL_TASK_STATES else None
 
 
 class Ledger:
-    """Room taken on one worker, by task.
+    """Capacity allocated on one worker, by task.
 
     Parameters
     ----------
     capacity : Resources
-        What the worker told of itself at acquisition.
+        Capacity reported by the worker at acquisition.
 
     Examples
     --------
@@ -52,27 +52,27 @@
         capacity: Resources,
         invariants: Invariants | None = None,
     ) -> None:
-        """Start with nothing taken."""
+        """Start with nothing allocated."""
         self.capacity = capacity
         self.free = capacity + NOTHING
         self._size_by_task: dict[TaskId, Resources] = {}
         self._invariants = invariants or Invariants()
 
     def __len__(self) -> int:
-        """Return how many tasks hold room."""
+        """Return the number of tasks with an allocation."""
         return len(self._size_by_task)
 
     def __contains__(self, task: TaskId) -> bool:
-        """Tell whether `task` holds room."""
+        """Return whether `task` has an allocation."""
         return task in self._size_by_task
 
     @property
     def tasks(self) -> tuple[TaskId, ...]:
-        """The tasks that hold room."""
+        """The tasks with an allocation."""
         return tuple(self._size_by_task)
 
     def reserve(self, task: TaskId, size: Resources) -> bool:
-        """Take room for a task; return False if there is too little."""
+        """Allocate capacity for a task; return False if there is too little."""
         if task in self._size_by_task:
             return True
         if not size.fits(self.free):
@@ -85,20 +85,20 @@
             left=left,
         ):
             return False
-        self._take(task, size)
+        self._allocate(task, size)
         return True
 
     def adopt(self, task: TaskId, size: Resources) -> None:
-        """Charge a task that runs already, whether or not there is room."""
+        """Allocate for a task that already runs, even beyond the capacity."""
         if task not in self._size_by_task:
-            self._take(task, size)
+            self._allocate(task, size)
 
     def release(self, task: TaskId, _proof: Proof) -> None:
-        """Give a task's room back; the proof says why that is safe."""
+        """Release a task's capacity; the proof states why that is safe."""
         size = self._size_by_task.pop(task, None)
         if size is not None:
             self.free = self.free + size
 
-    def _take(self, task: TaskId, size: Resources) -> None:
+    def _allocate(self, task: TaskId, size: Resources) -> None:
         self._size_by_task[task] = size
         self.free = self.free - size
--- a/orchidrail/membership/__init__.py
+++ b/orchidrail/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Which schedulers seem to be there; this steers and confers no right."""
+"""Gossip-based view of the live schedulers; advisory, grants no authority."""
--- a/orchidrail/membership/view.py
+++ b/orchidrail/membership/view.py
@@ -1,4 +1,4 @@
-"""One scheduler's view of the others, kept by small periodic exchanges."""
+"""One scheduler's view of the others, maintained by periodic gossip."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from orchidrail.resources import Resources
 
-#: Members told of in one exchange, so that its size is constant.
+#: Members in one gossip message, which bounds its size.
 MEMBERS_PER_EXCHANGE = 6
 _LEAVING_PER_EXCHANGE = 16
 _DIGESTS_PER_EXCHANGE = 32
@@ -32,14 +32,14 @@
 
 
 class MembershipView:
-    """Members of this zone, digests of the others.
+    """Members of this zone, and digests of the other zones.
 
     Parameters
     ----------
     me : MemberState
-        What this scheduler tells of itself.
+        State that this scheduler reports of itself.
     timeout : float
-        Seconds without news after which a member counts as gone.
+        Seconds without a newer heartbeat after which a member is dead.
     random : Random
 
     Examples
@@ -60,7 +60,7 @@
         timeout: Seconds,
         random: Random,
     ) -> None:
-        """Start alone."""
+        """Start without other members."""
         self.me = me
         self.timeout = timeout
         self.leaving_workers: dict[WorkerId, Seconds] = {}
@@ -69,21 +69,21 @@
         self._last_seen_by_name: dict[SchedulerId, _SeenMember] = {}
 
     def take(self, gossip: Gossip, now: Seconds) -> None:
-        """Learn from one exchange; older news is dropped."""
+        """Merge a gossip message; outdated states are ignored."""
         for state in gossip.members:
             if state.zone == self.me.zone:
-                self._take_member(state, now)
+                self._merge_member(state, now)
         for worker in gossip.leaving:
             self.leaving_workers.setdefault(worker, now)
         for digest in gossip.digests:
-            self._take_digest(digest)
+            self._merge_digest(digest)
 
     def exchange(self) -> Gossip:
-        """Return what to tell a peer, of constant size."""
-        heard = list(self._last_seen_by_name.values())
+        """Return a gossip message of bounded size for a peer."""
+        seen = list(self._last_seen_by_name.values())
         chosen = self._random.sample(
-            heard,
-            min(len(heard), MEMBERS_PER_EXCHANGE - 1),
+            seen,
+            min(len(seen), MEMBERS_PER_EXCHANGE - 1),
         )
         leaving = list(self.leaving_workers)[-_LEAVING_PER_EXCHANGE:]
         digests = list(self.digest_by_zone.values())[:_DIGESTS_PER_EXCHANGE]
@@ -94,27 +94,27 @@
         )
 
     def alive(self, now: Seconds) -> list[SchedulerId]:
-        """Return the members of the zone that seem able to hold workers."""
+        """Return the live members of the zone that may hold workers."""
         others = [
             name
-            for name, heard in self._last_seen_by_name.items()
-            if now - heard.at <= self.timeout and not heard.state.leaving
+            for name, seen in self._last_seen_by_name.items()
+            if now - seen.at <= self.timeout and not seen.state.leaving
         ]
         mine = [] if self.me.leaving else [self.me.name]
         return sorted([*others, *mine])
 
     def holding(self, now: Seconds) -> list[SchedulerId]:
-        """Return those of `alive` that hold a worker, as they told."""
-        told = {state.name: state.held for state in self.peers(now)}
-        told[self.me.name] = self.me.held
-        return [name for name in self.alive(now) if told.get(name)]
+        """Return those of `alive` that report to hold a worker."""
+        held_by_name = {state.name: state.held for state in self.peers(now)}
+        held_by_name[self.me.name] = self.me.held
+        return [name for name in self.alive(now) if held_by_name.get(name)]
 
     def peers(self, now: Seconds) -> list[MemberState]:
-        """Return the other members that were heard of lately."""
+        """Return the other members with a recent heartbeat."""
         return [
-            heard.state
-            for heard in self._last_seen_by_name.values()
-            if now - heard.at <= self.timeout
+            seen.state
+            for seen in self._last_seen_by_name.values()
+            if now - seen.at <= self.timeout
         ]
 
     def peers_with_room(
@@ -122,17 +122,17 @@
         size: Resources,
         now: Seconds,
     ) -> list[MemberState]:
-        """Return the peers that told of a worker with room for `size`."""
-        roomy = [
+        """Return the peers that report a worker with `size` free."""
+        candidates = [
             peer for peer in self.peers(now) if size.fits(peer.largest_free)
         ]
-        # One order for all, so that two large groups don't block each other.
-        return sorted(roomy, key=lambda peer: peer.name)
+        # A global order, so that two large groups don't block each other.
+        return sorted(candidates, key=lambda peer: peer.name)
 
     def address_of(self, name: SchedulerId) -> Address | None:
         """Return a member's address, if it is known."""
-        heard = self._last_seen_by_name.get(name)
-        return None if heard is None else heard.state.address
+        seen = self._last_seen_by_name.get(name)
+        return None if seen is None else seen.state.address
 
     def newest_bundle(self, now: Seconds) -> MemberState | None:
         """Return the peer that has the newest bundle."""
@@ -143,11 +143,11 @@
         )
 
     def note_leaving(self, worker: WorkerId, now: Seconds) -> None:
-        """Remember that a worker is leaving, to tell others."""
+        """Record that a worker is leaving, to gossip it."""
         self.leaving_workers.setdefault(worker, now)
 
     def summarise(self, now: Seconds, workers: int) -> ZoneDigest:
-        """Make this zone's digest for the other zones."""
+        """Store and return this zone's digest for the other zones."""
         peers = self.peers(now)
         digest = ZoneDigest(
             zone=self.me.zone,
@@ -162,20 +162,20 @@
         self.digest_by_zone[self.me.zone] = digest
         return digest
 
-    def _take_member(self, state: MemberState, now: Seconds) -> None:
+    def _merge_member(self, state: MemberState, now: Seconds) -> None:
         if state.name == self.me.name:
             return
         known = self._last_seen_by_name.get(state.name)
-        if known is None or _age(state) > _age(known.state):
+        if known is None or _version(state) > _version(known.state):
             self._last_seen_by_name[state.name] = _SeenMember(state, now)
 
-    def _take_digest(self, digest: ZoneDigest) -> None:
+    def _merge_digest(self, digest: ZoneDigest) -> None:
         known = self.digest_by_zone.get(digest.zone)
         if known is None or digest.beat > known.beat:
             self.digest_by_zone[digest.zone] = digest
 
 
-def _age(state: MemberState) -> tuple[int, int]:
+def _version(state: MemberState) -> tuple[int, int]:
     return (state.incarnation, state.beat)
 
 
@@ -183,7 +183,7 @@
     worker: WorkerId,
     members: list[SchedulerId],
 ) -> SchedulerId | None:
-    """Return who should hold a worker: the highest hash of the pair.
+    """Return the member that should hold a worker, by rendezvous hashing.
 
     Examples
     --------
