--- a/orchidrail/store/__init__.py
+++ b/orchidrail/store/__init__.py
@@ -1,4 +1,4 @@
-"""The durable, shared log of keyed records, as the product needs it."""
+"""Interface to the durable, shared log of keyed records."""
 
 from __future__ import annotations
 
--- a/orchidrail/store/memory.py
+++ b/orchidrail/store/memory.py
@@ -1,4 +1,4 @@
-"""A store in this process's memory, for tests and for programs that embed."""
+"""In-memory store for tests and for programs that embed the package."""
 
 from __future__ import annotations
 
@@ -22,33 +22,33 @@
 )
 from orchidrail.types import Offset, Seconds
 
-#: When an append that is delayed is done, in seconds.
-_DONE_LATER = 0.005
+#: Delay of a delayed append, in seconds.
+_APPEND_DELAY = 0.005
 
 
 class StoreFault(Enum):
-    """How the store fails its next calls."""
+    """Simulated failure of calls to the store."""
 
-    #: Refuses all calls; nothing is done.
+    #: All calls are rejected and have no effect.
     REFUSES = 'refuses'
-    #: Appends are done, but their answers are lost.
+    #: Appends succeed, but their responses are lost.
     LOSES_ANSWERS = 'losesAnswers'
-    #: Appends are neither done nor answered.
+    #: Appends are dropped without a response.
     SWALLOWS = 'swallows'
-    #: Appends are not answered, and done later if they still can be.
+    #: Appends get no response, and are executed later if still possible.
     DELAYS = 'delays'
 
 
 class MemoryStore:
-    """Fits `StoreLog`; keeps everything in memory.
+    """Implements `StoreLog` in memory.
 
     Examples
     --------
     >>> store = MemoryStore()
-    >>> one = KeyedRecord('a', b'1')
-    >>> asyncio.run(store.append(Topic('t'), [one], Offset(0)))
+    >>> record = KeyedRecord('a', b'1')
+    >>> asyncio.run(store.append(Topic('t'), [record], Offset(0)))
     Appended(offset=0, end=1)
-    >>> asyncio.run(store.append(Topic('t'), [one], Offset(0)))
+    >>> asyncio.run(store.append(Topic('t'), [record], Offset(0)))
     EndMoved(end=1)
     """
 
@@ -77,7 +77,7 @@
             return Uncertain('no answer')
         if self.fault is StoreFault.DELAYS:
             asyncio.get_running_loop().call_later(
-                _DONE_LATER,
+                _APPEND_DELAY,
                 self._append,
                 topic,
                 list(records),
@@ -95,13 +95,13 @@
         records: list[KeyedRecord],
         expected_end: Offset | None,
     ) -> AppendOutcome:
-        kept = self.records_by_topic[topic]
-        end = Offset(len(kept))
+        stored = self.records_by_topic[topic]
+        end = Offset(len(stored))
         if expected_end not in {None, end}:
             return EndMoved(end)
         self.appends += 1
-        kept.extend(records)
-        return Appended(end, Offset(len(kept)))
+        stored.extend(records)
+        return Appended(end, Offset(len(stored)))
 
     async def read(
         self,
@@ -113,29 +113,29 @@
         await asyncio.sleep(0)
         if self.fault is StoreFault.REFUSES:
             return Unavailable('down')
-        kept = self.records_by_topic[topic]
+        stored = self.records_by_topic[topic]
         if start < self.first_by_topic[topic]:
             return Trimmed(self.first_by_topic[topic])
-        return RecordPage(Offset(len(kept)), kept[start:])
+        return RecordPage(Offset(len(stored)), stored[start:])
 
     async def latest(
         self,
         topic: Topic,
         after: str = '',
     ) -> LatestPage | Unavailable:
-        """See `StoreLog.latest`; all on one page."""
+        """See `StoreLog.latest`; returns a single page."""
         await asyncio.sleep(0)
         if self.fault is StoreFault.REFUSES:
             return Unavailable('down')
-        kept = self.records_by_topic[topic]
-        newest_by_key = {record.key: record for record in kept}
+        stored = self.records_by_topic[topic]
+        newest_by_key = {record.key: record for record in stored}
         live = [
             record
             for key, record in sorted(newest_by_key.items())
             if record.value and key > after
         ]
-        return LatestPage(live, '', Offset(len(kept)))
+        return LatestPage(live, '', Offset(len(stored)))
 
     def trim(self, topic: Topic, before: int) -> None:
-        """Remove the history before an offset."""
+        """Trim the history before an offset."""
         self.first_by_topic[topic] = Offset(before)
--- a/orchidrail/store/port.py
+++ b/orchidrail/store/port.py
@@ -1,8 +1,8 @@
-"""Port to the store: partitions of keyed records with growing offsets.
+"""Interface to the store: partitions of keyed records with growing offsets.
 
-The store keeps the newest record of each key for good and the rest for a
-while. An append may name the end that it expects; the store then takes it
-only if nobody else has appended since, which is what all fencing rests on.
+The store retains the newest record of each key permanently and the others for
+a limited time. An append may name the end that it expects; the store then
+accepts it only if nothing else was appended since. All fencing relies on that.
 """
 
 from __future__ import annotations
@@ -34,35 +34,36 @@
 
 
 class EndMoved(NamedTuple):
-    """Nothing was appended: the partition ends elsewhere than expected."""
+    """Nothing was appended: the partition's end is not the expected one."""
 
     end: Offset
 
 
 class NotAppended(NamedTuple):
-    """Nothing was appended: the store refused, or was not reached."""
+    """Nothing was appended: the store rejected the call or is unreachable."""
 
     reason: str
 
 
 class Uncertain(NamedTuple):
-    """No answer came: the append may be done, now or some seconds later."""
+    """No response: the append may be executed, now or some seconds later."""
 
     reason: str
 
 
 class RecordPage(NamedTuple):
-    """Records in order from the offset that was asked for."""
+    """Records in order from the requested offset."""
 
     end: Offset
     records: list[KeyedRecord]
 
 
 class LatestPage(NamedTuple):
-    """The newest records by key, a page of them.
+    """One page of the newest records by key.
 
     `after` continues the listing and is empty on the last page. `end` is the
-    end of the partition when the page was made; pages are no snapshot.
+    end of the partition when the page was read; the pages of a listing are not
+    a consistent snapshot.
     """
 
     records: list[KeyedRecord]
@@ -71,13 +72,13 @@
 
 
 class Trimmed(NamedTuple):
-    """The records asked for are gone; `first` is the oldest kept."""
+    """The requested records are trimmed; `first` is the oldest retained."""
 
     first: Offset
 
 
 class Unavailable(NamedTuple):
-    """The store gave no usable answer."""
+    """The store gave no usable response."""
 
     reason: str
 
@@ -87,7 +88,7 @@
 
 
 class StoreLog(Protocol):
-    """Calls to the store; none of them raises for a failure outside."""
+    """Calls to the store; external failures are returned, not raised."""
 
     async def append(
         self,
@@ -95,7 +96,7 @@
         records: list[KeyedRecord],
         expected_end: Offset | None = None,
     ) -> AppendOutcome:
-        """Append all of `records` or none."""
+        """Append all of `records`, or none."""
 
     async def read(
         self,
--- a/orchidrail/store/relay.py
+++ b/orchidrail/store/relay.py
@@ -1,4 +1,4 @@
-"""Calls to the store that go through a peer when this machine is refused."""
+"""Calls to the store, relayed by a peer if the direct route fails."""
 
 from __future__ import annotations
 
@@ -14,32 +14,33 @@
 from orchidrail.types import Seconds
 
 _log = structlog.get_logger()
-_TOO_MANY = 429
-_UNAVAILABLE = 503
-#: After the store has turned this machine away, peers are asked first.
-_AVOID_DIRECT: Seconds = 0.7
-#: After no peer could help either, none is asked for this long: the store is
-#: then down for all, and each call has a price. It is tried directly, so that
-#: its return is noticed at once.
-_AVOID_RELAY: Seconds = 1.0
-#: Peers that must fail in a row before that is concluded: one may be cut off
-#: as this machine is, and not know it yet.
-_RELAYS_TRIED = 2
-#: Tries of one write, each beside the last, while no peer can help.
-_TRIES_WHILE_UNRESPONSIVE = 4
-#: Least and longest silence after which a write is tried the next way too. The
-#: store answers in 8 ms; where it is slow, more of its usual time is allowed.
+_TOO_MANY_REQUESTS = 429
+_SERVICE_UNAVAILABLE = 503
+#: After the store has rejected this instance, peers are tried first.
+_DIRECT_BACKOFF: Seconds = 0.7
+#: After relays have failed too, none is tried for this long: the store is then
+#: unavailable to all instances, and each call is charged. Calls go directly,
+#: so that its recovery is detected at once.
+_RELAY_BACKOFF: Seconds = 1.0
+#: Consecutive relays that must fail before the store counts as unavailable to
+#: all. A single peer may be partitioned as this instance is, undetected.
+_FAILED_RELAYS_UNTIL_AVOIDED = 2
+#: Parallel attempts of one write while relays are avoided.
+_PARALLEL_ATTEMPTS = 4
+#: Minimum and maximum time without a response after which a write is hedged on
+#: the next route. The store responds in 8 ms; while it is slow, the delay
+#: grows with its mean latency.
 _HEDGE_AFTER_MIN: Seconds = 0.12
 _HEDGE_AFTER_MAX: Seconds = 0.4
-#: Factor on the usual time of an answer, and weight of the latest one in it.
+#: Factor on the mean latency, and weight of the latest latency in the mean.
 _HEDGE_FACTOR = 1.5
 _LATEST_WEIGHT = 0.5
-#: A direct answer tells for this long that the store is reached; each process
-#: calls at least once in a second.
-_ANSWERS_FOR: Seconds = 1.5
-#: While the direct way is silent, one call in this time tries it as well.
-_PROBE_EVERY: Seconds = 0.7
-#: Wait for a direct answer; a slow store takes up to 0.3 s on the sites.
+#: How long a direct response shows that the store is reachable; each process
+#: calls it at least once a second.
+_RESPONSE_VALIDITY: Seconds = 1.5
+#: Interval of probes of the direct route while it is unresponsive.
+_PROBE_INTERVAL: Seconds = 0.7
+#: Timeout of a direct call; a slow store takes up to 0.3 s at the sites.
 DIRECT_TIMEOUT: Seconds = 0.5
 
 
@@ -52,11 +53,11 @@
         The target is path and query.
     body : bytes
     timeout : float
-        Seconds of silence after which the call is given up.
+        Seconds without a response after which the call times out.
     max_hold : float
-        Seconds of `timeout` for which the receiver may hold the answer.
+        Seconds of `timeout` for which the receiver may hold the response.
     new_connection : bool
-        Use no connection that was open before: it may have gone silent.
+        Use a new connection: those that are open may be unresponsive.
     """
 
     method: str
@@ -68,9 +69,9 @@
 
 
 class RawAnswer(NamedTuple):
-    """An answer; status 0 stands for none.
+    """A response; status 0 means that there was none.
 
-    `reached` is False only if the call can't have got through.
+    `reached` is False only if the call can't have reached the receiver.
     """
 
     status: int
@@ -79,34 +80,35 @@
 
     @property
     def usable(self) -> bool:
-        """Whether the receiver dealt with the call."""
+        """Whether the receiver has processed the call."""
         return self.status not in _NOT_SERVED
 
 
-#: Bytes of an unexpected answer that are shown.
+#: Bytes of an unexpected response that are logged.
 _MAX_QUOTED = 80
-_NOT_SERVED = frozenset((0, _TOO_MANY, _UNAVAILABLE))
-#: Something that makes a call: directly, or through a named peer.
+_NOT_SERVED = frozenset((0, _TOO_MANY_REQUESTS, _SERVICE_UNAVAILABLE))
+#: Sends a call, directly or through a peer.
 SendCall = Callable[[RawCall], Coroutine[Any, Any, RawAnswer]]
 
 
 class RelayedCaller:
-    """Calls directly, and through a peer where that fails.
+    """Sends calls directly, and through a peer if that fails.
 
-    A write does not wait for a way that gives no answer: the next one is tried
-    beside it. Appends name the end that they expect, so one that arrives by two
-    ways counts once. Reads may be long, and go one way after the other.
+    A write is hedged: if a route does not respond in time, the next one is
+    tried in parallel. Appends name the end that they expect, so one that
+    arrives by two routes takes effect once. Reads may be large, so their routes
+    are tried one after the other.
 
     Parameters
     ----------
     direct : callable
-        Makes a call from this machine.
+        Sends a call from this instance.
     relay : callable
-        Makes a call through some peer.
+        Sends a call through some peer.
     clock : callable
         Monotonic seconds.
-    note : callable
-        Told the way and the status of each call.
+    on_call : callable
+        Called with the route and the status of each call.
     """
 
     def __init__(
@@ -114,43 +116,43 @@
         direct: SendCall,
         relay: SendCall,
         clock: Callable[[], Seconds],
-        note: Callable[[str, int], None],
+        on_call: Callable[[str, int], None],
     ) -> None:
-        """Start with the direct way."""
-        self._note = note
+        """Start with the direct route."""
+        self._on_call = on_call
         self._direct = direct
         self._relay = relay
         self._clock = clock
         self._avoid_direct_until: Seconds = 0
         self._avoid_relay_until: Seconds = 0
-        self._relays_failed = 0
-        #: Usual time of a direct answer.
+        self._consecutive_relay_failures = 0
+        #: Moving average of the latency of direct calls.
         self._mean_latency: Seconds = 0
-        self._answered_at: Seconds = -math.inf
-        #: Whether the latest direct call got no answer at all.
+        self._last_response_at: Seconds = -math.inf
+        #: Whether the latest direct call got no response at all.
         self._unresponsive = False
         self._probe_at: Seconds = 0
         self._attempts = BackgroundTasks('store call')
-        self.lost = False
+        self.unavailable = False
 
     def direct_route_works(self) -> bool:
-        """Whether the store answers this machine itself."""
+        """Return whether the store responds to this instance directly."""
         if self._unresponsive or self._clock() < self._avoid_direct_until:
             return False
-        return self._clock() - self._answered_at < _ANSWERS_FOR
+        return self._clock() - self._last_response_at < _RESPONSE_VALIDITY
 
     async def __call__(self, call: RawCall) -> RawAnswer:
-        """Make a call by the way that works."""
+        """Send a call by a route that works."""
         if self._unresponsive and call.method == 'GET':
             self._probe(call)
         answers: list[RawAnswer] = []
         pending: set[asyncio.Task[RawAnswer]] = set()
-        for way in self._routes(call):
-            if way == self._call_freshly and not pending:
-                # The direct way has answered: its connection is not silent.
+        for route in self._routes(call):
+            if route == self._call_on_new_connection and not pending:
+                # The direct call got a response, so its connection works.
                 continue
-            # An attempt goes on even if another way is faster.
-            pending.add(self._attempts.spawn(way(call)))
+            # An attempt goes on even if another route is faster.
+            pending.add(self._attempts.spawn(route(call)))
             done, pending = await asyncio.wait(
                 pending,
                 timeout=None if call.method == 'GET' else self._hedge_delay(),
@@ -165,71 +167,75 @@
                 return_when=asyncio.FIRST_COMPLETED,
             )
             answers.extend(task.result() for task in done)
-        return self._conclude(answers)
+        return self._select_answer(answers)
 
     def _routes(self, call: RawCall) -> list[SendCall]:
-        """Return the ways to try, the most promising first; never none.
+        """Return the routes to try, the most promising first; never none.
 
-        A store that is silent for all is written to again and again, so that
-        its return is noticed at once.
+        While the store is unavailable to all instances, writes to it are
+        repeated, so that its recovery is detected at once.
         """
         now = self._clock()
         if now < self._avoid_relay_until:
-            tries = 1 if call.method == 'GET' else _TRIES_WHILE_UNRESPONSIVE
-            return list(itertools.repeat(self._call_directly, tries))
+            repeats = 1 if call.method == 'GET' else _PARALLEL_ATTEMPTS
+            return list(itertools.repeat(self._call_directly, repeats))
         if self._unresponsive or now < self._avoid_direct_until:
             return [self._call_relay, self._call_directly]
         if call.method == 'GET':
             return [self._call_directly, self._call_relay]
-        return [self._call_directly, self._call_relay, self._call_freshly]
+        return [
+            self._call_directly,
+            self._call_relay,
+            self._call_on_new_connection,
+        ]
 
     def _hedge_delay(self) -> Seconds:
-        """Return the silence after which a write goes another way too."""
+        """Return the time without a response after which to hedge a write."""
         allowed = _HEDGE_FACTOR * self._mean_latency
         return min(_HEDGE_AFTER_MAX, max(_HEDGE_AFTER_MIN, allowed))
 
-    async def _call_freshly(self, call: RawCall) -> RawAnswer:
-        """Call directly on a new connection, beside one that is silent."""
+    async def _call_on_new_connection(self, call: RawCall) -> RawAnswer:
+        """Call directly on a new connection; the open one may hang."""
         return await self._call_directly(call._replace(new_connection=True))
 
     def _probe(self, call: RawCall) -> None:
-        """Try the silent direct way beside a call that goes by a peer."""
+        """Probe the unresponsive direct route while a peer relays the call."""
         if self._clock() >= self._probe_at:
-            self._probe_at = self._clock() + _PROBE_EVERY
+            self._probe_at = self._clock() + _PROBE_INTERVAL
             self._attempts.spawn(self._call_directly(call))
 
     async def _call_directly(self, call: RawCall) -> RawAnswer:
-        patience = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
-        began = self._clock()
-        answer = await self._direct(call._replace(timeout=patience))
-        self._note('direct', answer.status)
+        time_limit = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
+        started_at = self._clock()
+        answer = await self._direct(call._replace(timeout=time_limit))
+        self._on_call('direct', answer.status)
         self._unresponsive = not answer.status
         if answer.usable:
-            self._answered_at = self._clock()
+            self._last_response_at = self._clock()
             if not call.max_hold:
-                took = self._answered_at - began
+                latency = self._last_response_at - started_at
                 self._mean_latency += _LATEST_WEIGHT * (
-                    took - self._mean_latency
+                    latency - self._mean_latency
                 )
         elif answer.status:
-            self._avoid_direct_until = self._clock() + _AVOID_DIRECT
+            self._avoid_direct_until = self._clock() + _DIRECT_BACKOFF
         return answer
 
     async def _call_relay(self, call: RawCall) -> RawAnswer:
         relayed = await self._relay(call)
-        self._note('relay', relayed.status)
+        self._on_call('relay', relayed.status)
         if relayed.usable:
-            self._relays_failed = 0
+            self._consecutive_relay_failures = 0
             return relayed
-        self._relays_failed += 1
-        if self._relays_failed >= _RELAYS_TRIED:
-            self._avoid_relay_until = self._clock() + _AVOID_RELAY
+        self._consecutive_relay_failures += 1
+        if self._consecutive_relay_failures >= _FAILED_RELAYS_UNTIL_AVOIDED:
+            self._avoid_relay_until = self._clock() + _RELAY_BACKOFF
         return relayed
 
-    def _conclude(self, answers: list[RawAnswer]) -> RawAnswer:
-        """Choose among the answers; log a store that is lost or is back."""
+    def _select_answer(self, answers: list[RawAnswer]) -> RawAnswer:
+        """Choose a response; log if the store is lost or regained."""
         usable = next((answer for answer in answers if answer.usable), None)
-        if usable is None and not self.lost:
+        if usable is None and not self.unavailable:
             _log.warning(
                 'store lost',
                 answers=[answer.status for answer in answers],
@@ -238,16 +244,17 @@
                     for answer in answers
                 ],
             )
-        if usable is not None and self.lost:
+        if usable is not None and self.unavailable:
             _log.info('store regained')
-        self.lost = usable is None
+        self.unavailable = usable is None
         return _least_certain(answers) if usable is None else usable
 
 
 def _least_certain(answers: list[RawAnswer]) -> RawAnswer:
-    """Return the answer of a call that may have got through by some way.
+    """Return the least certain of several failed responses.
 
-    Silence by one way is less certain than a refusal by another.
+    A call without a response may have been executed, so it takes precedence
+    over a rejection on another route.
     """
     return max(
         answers,
