--- a/orchidrail/platform/__init__.py
+++ b/orchidrail/platform/__init__.py
@@ -1,5 +1,5 @@
 """Adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides. Each wire name is decoded once into a record whose
-fields say what they hold; the rest of the package knows only those.
+It makes no decisions. Each wire format is decoded once into records with
+descriptive field names; the rest of the package uses only those records.
 """
--- a/orchidrail/platform/callers.py
+++ b/orchidrail/platform/callers.py
@@ -1,4 +1,4 @@
-"""The callers' interface: the platform's paths, headers and states."""
+"""HTTP API for callers: the platform's paths, headers and states."""
 
 from __future__ import annotations
 
@@ -28,16 +28,16 @@
 _DEADLINE_HEADER = b'X-Orchidrail-Deadline-Ms'
 _RETRY_HEADER = b'Retry-After'
 _KEY_HEADER = b'Authorization'
-#: Says of a job that was given up why; the body has the state alone.
+#: Why a job has failed permanently; the body holds the state only.
 _CAUSE_HEADER = b'X-Orchidrail-Failure-Cause'
 _ID_LENGTH = 16
 _HEX = frozenset(string.hexdigits.lower())
 _MILLIS = 1000
-#: Patience of a caller that names none.
+#: Timeout of calls to a queue that has none of its own.
 _DEFAULT_TIMEOUT: Seconds = 3
-#: Part of the caller's patience that the answer needs on its way back.
-_ANSWER_TRAVELS: Seconds = 0.1
-_WORD_BY_PHASE = {
+#: Part of the caller's timeout reserved for sending the response.
+_RESPONSE_RESERVE: Seconds = 0.1
+_BODY_BY_PHASE = {
     JobPhase.QUEUED: b'{"state":"queued"}',
     JobPhase.RUNNING: b'{"state":"running"}',
     JobPhase.COMPLETED: b'{"state":"completed"}',
@@ -58,22 +58,22 @@
     WorkCode.UNCERTAIN: 504,
 }
 _NOT_READY = 503
-#: Seconds after which a call that was turned away for the machine's sake may
-#: come again: the entry point has then sent its caller elsewhere.
-_TURNED_FOR: Seconds = 1
+#: Seconds after which a call rejected because of this instance's state may be
+#: retried: the entry point then routes the caller to another instance.
+_REJECTION_RETRY_AFTER: Seconds = 1
 _encode = msgspec.json.Encoder().encode
 
 
 class _Target(NamedTuple):
     config: CellConfig
     queue: QueueSettings
-    #: Empty for the queue itself.
+    #: Empty if the request is for the queue itself.
     job_id: JobId
     caller: Tenant
 
     @property
-    def asks_for(self) -> TenantId:
-        """Whose jobs the caller may ask for, empty for anybody's."""
+    def visible_tenant(self) -> TenantId:
+        """Tenant whose jobs the caller may access, empty for all tenants."""
         return TenantId('') if self.queue.public else self.caller.name
 
 
@@ -84,11 +84,11 @@
     ----------
     forwarder : JobForwarder
     config : callable
-        Returns the configuration in force, None before the first.
+        Returns the active configuration, None before the first.
     authenticator : CallAuthenticator, optional
-        Tells for whom calls are; by default it goes by `config` alone.
+        Authenticates calls; by default by `config` alone.
     on_leaving : callable
-        Whether callers should open their next connection elsewhere.
+        Whether callers should connect to another instance from now on.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         self._authenticator = authenticator or CallAuthenticator(
             config, elapsed, InstanceMetrics()
         )
-        self._leaving = on_leaving
+        self._is_leaving = on_leaving
         self._handler_by_method: dict[
             str, Callable[[Request, _Target], Awaitable[Response]]
         ] = {
@@ -116,7 +116,7 @@
 
     async def _serve(self, request: Request) -> Response:
         response = await self._answer(request)
-        if self._leaving():
+        if self._is_leaving():
             response.add_header(b'Connection', b'close')
         return response
 
@@ -147,18 +147,18 @@
 
     async def _submit(self, request: Request, target: _Target) -> Response:
         if not target.job_id:
-            return _text(HTTPStatus.NOT_FOUND, 'a job needs an id')
+            return _text(HTTPStatus.NOT_FOUND, 'expected a job id in the path')
         limits = target.config.limits
-        patience = _time_budget(request, target.queue)
+        time_budget = _time_budget(request, target.queue)
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(time_budget):
                 body = await _read_body(request, limits.body_bytes)
         except TimeoutError:
-            return _text(HTTPStatus.REQUEST_TIMEOUT, 'the body did not come')
+            return _text(HTTPStatus.REQUEST_TIMEOUT, 'request body timed out')
         if body is None:
             return _text(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-                f'more than {limits.body_bytes!r} bytes',
+                f'expected a body of at most {limits.body_bytes!r} bytes',
             )
         decoded = decode_job(body)
         if isinstance(decoded, Err):
@@ -173,7 +173,7 @@
         status = _SUBMIT_STATUS[answer.code]
         if answer.retry_after:
             reason = f'{answer.code.value}: not run'
-            return _refuse(status, reason, answer.retry_after)
+            return _reject_with_retry(status, reason, answer.retry_after)
         return _text(status, answer.code.value)
 
     async def _read(self, request: Request, target: _Target) -> Response:
@@ -183,25 +183,25 @@
         answer = await self._forwarder.query(
             target.job_id,
             _time_budget(request, target.queue),
-            target.asks_for,
+            target.visible_tenant,
         )
         return _state(answer)
 
     async def _cancel(self, request: Request, target: _Target) -> Response:
         if not target.job_id:
             return _text(
-                HTTPStatus.METHOD_NOT_ALLOWED, 'a queue is not removed here'
+                HTTPStatus.METHOD_NOT_ALLOWED, 'queues can not be deleted'
             )
         answer = await self._forwarder.cancel(
             target.job_id,
             _time_budget(request, target.queue),
-            target.asks_for,
+            target.visible_tenant,
         )
         return _state(answer)
 
 
 class ReadinessApi:
-    """Answers the platform's question whether this process takes callers."""
+    """Readiness probe: whether this instance accepts callers."""
 
     def __init__(self, ready: Callable[[], bool]) -> None:
         """Build the application."""
@@ -217,15 +217,15 @@
         return _text(_NOT_READY, 'not ready')
 
 
-async def _read_body(request: Request, most: int) -> bytes | None:
-    """Read a body piece by piece; None once it is longer than `most`."""
+async def _read_body(request: Request, max_bytes: int) -> bytes | None:
+    """Read a body in chunks; None if it is longer than `max_bytes`."""
     announced = request.get_first_header(b'Content-Length') or b'0'
-    if announced.isdigit() and int(announced) > most:
+    if announced.isdigit() and int(announced) > max_bytes:
         return None
     body = bytearray()
     async for chunk in request.stream():  # type: ignore[attr-defined]
         body += chunk
-        if len(body) > most:
+        if len(body) > max_bytes:
             return None
     return bytes(body)
 
@@ -246,23 +246,23 @@
 
 
 def _reject(reason: RejectReason) -> Response:
-    """Answer a call that did not come in; nothing of it has run."""
+    """Answer a rejected call; nothing of it has run."""
     if reason is RejectReason.UNKNOWN_KEY:
         return _text(HTTPStatus.UNAUTHORIZED, 'unknown key')
-    return _refuse(_NOT_READY, reason.value, _TURNED_FOR)
+    return _reject_with_retry(_NOT_READY, reason.value, _REJECTION_RETRY_AFTER)
 
 
 def _time_budget(request: Request, queue: QueueSettings) -> Seconds:
-    named = request.get_first_header(_DEADLINE_HEADER)
-    patience = queue.timeout or _DEFAULT_TIMEOUT
-    if named is not None and named.isdigit():
-        patience = min(patience, int(named) / _MILLIS)
-    return max(_ANSWER_TRAVELS, patience - _ANSWER_TRAVELS)
+    requested = request.get_first_header(_DEADLINE_HEADER)
+    time_budget = queue.timeout or _DEFAULT_TIMEOUT
+    if requested is not None and requested.isdigit():
+        time_budget = min(time_budget, int(requested) / _MILLIS)
+    return max(_RESPONSE_RESERVE, time_budget - _RESPONSE_RESERVE)
 
 
 def _state(answer: JobAnswer) -> Response:
     if answer.code is WorkCode.OK:
-        response = _json(_WORD_BY_PHASE[answer.phase])
+        response = _json(_BODY_BY_PHASE[answer.phase])
         if answer.cause is not FailureCause.NONE:
             response.add_header(_CAUSE_HEADER, answer.cause.value.encode())
         return response
@@ -277,7 +277,9 @@
     return Response(status, content=Content(b'text/plain', text.encode()))
 
 
-def _refuse(status: int, text: str, retry_after: Seconds) -> Response:
+def _reject_with_retry(
+    status: int, text: str, retry_after: Seconds
+) -> Response:
     response = _text(status, text)
     seconds = max(1, math.ceil(retry_after))
     response.add_header(_RETRY_HEADER, str(seconds).encode())
--- a/orchidrail/platform/configuration.py
+++ b/orchidrail/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as the platform has it."""
+"""Decoding of the operator's configuration."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 #: Key of the configuration among the operator's records.
 CONFIG_KEY = 'config'
 _MILLIS = 1000
-#: Characters of a value that are quoted.
+#: Characters of a value that are quoted in an error.
 _MAX_QUOTED = 120
-#: Where the library's message says that the error is, and the parts of that.
+#: Path of the invalid value in msgspec's error message, and the path's parts.
 _PATH = re.compile(r'at `\$([^`]*)`')
 _PART = re.compile(r'\.(\w+)|\[(\d+)\]')
-#: What is in a path to something that must not be told.
-_SECRET = 'apiKeys'
+#: Field whose values must not appear in an error.
+_SECRET_FIELD = 'apiKeys'
 
 
 class _AdviceCost(msgspec.Struct):
@@ -60,7 +60,7 @@
 
 
 class _Maximum(msgspec.Struct, rename='camel'):
-    """The most that a tenant may have running; 0 is no limit."""
+    """Limit on the resources of a tenant's running tasks; 0 is no limit."""
 
     cpu: Count = 0
     mem_mb: Count = 0
@@ -78,7 +78,7 @@
     version: int
     routes: list[_Route] = []
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    #: Not there where callers need no keys.
+    #: Unset if callers need no keys.
     tenants: list[_Tenant] | msgspec.UnsetType = msgspec.UNSET
 
 
@@ -90,7 +90,7 @@
 
     Returns
     -------
-    What it says, or a reason that quotes what can't be used, but no key.
+    The configuration, or an error that quotes the invalid value, but no key.
     """
     try:
         config = _decode_config(raw)
@@ -100,9 +100,9 @@
     limits = _limits(config.limits)
     if isinstance(config.tenants, msgspec.UnsetType):
         return Ok(CellConfig(config.version, queues, limits))
-    flaw = _find_flaw(config.tenants)
-    if flaw:
-        return Err(flaw)
+    conflict = _find_conflict(config.tenants)
+    if conflict:
+        return Err(conflict)
     keys = {
         digest_of(key): TenantId(tenant.name)
         for tenant in config.tenants
@@ -122,8 +122,8 @@
     )
 
 
-def _find_flaw(tenants: list[_Tenant]) -> str:
-    """Return why tenants can't be told apart, empty if they can."""
+def _find_conflict(tenants: list[_Tenant]) -> str:
+    """Return why tenants are ambiguous, empty if names and keys are unique."""
     name_by_key: dict[str, str] = {}
     names: set[str] = set()
     for tenant in tenants:
@@ -134,17 +134,17 @@
             other = name_by_key.setdefault(key, tenant.name)
             if other != tenant.name:
                 return (
-                    f'tenants {other!r} and {tenant.name!r}: expected keys of '
-                    'their own, got one of both'
+                    f'tenants {other!r} and {tenant.name!r}: expected distinct '
+                    'API keys, got a shared one'
                 )
     return ''
 
 
 def _explain(raw: bytes, error: Exception) -> str:
-    """Return what was expected, and quote the value that was there instead."""
+    """Return the error with the offending value quoted, unless secret."""
     text = str(error)
     path = _PATH.search(text)
-    if path is None or _SECRET in path[1]:
+    if path is None or _SECRET_FIELD in path[1]:
         return text
     found = msgspec.json.decode(raw)
     for name, number in _PART.findall(path[1]):
@@ -186,9 +186,9 @@
 
 
 def _tenant(tenant: _Tenant) -> Tenant:
-    most = tenant.maximum
+    limit = tenant.maximum
     return Tenant(
         TenantId(tenant.name),
         tenant.weight,
-        Size(most.cpu, most.mem_mb, most.gpu),
+        Size(limit.cpu, limit.mem_mb, limit.gpu),
     )
--- a/orchidrail/platform/documents.py
+++ b/orchidrail/platform/documents.py
@@ -1,4 +1,4 @@
-"""Documents of the platform: configuration, workers, jobs, settings."""
+"""Decoding of the platform's documents: workers, jobs and settings."""
 
 from __future__ import annotations
 
@@ -31,12 +31,12 @@
 from orchidrail.workers.port import WorkerEntry, WorkerState
 
 _MILLIS = 1000
-#: The port named for metrics in `deploy/system.toml`.
+#: The metrics port of `deploy/system.toml`.
 METRICS_PORT = 9464
 _MAX_TEXT_BYTES = 4000
-#: Bytes of an entry that are quoted.
+#: Bytes of an entry that are quoted in an error.
 _MAX_QUOTED = 120
-#: Field of `Bounds` and divisor, by the name of a line.
+#: Field of `Bounds` and divisor to its unit, by settings key.
 _BOUND_BY_KEY = {
     'maxHoldMs': ('longest_lease', _MILLIS),
     'gracePeriodS': ('grace', 1),
@@ -44,7 +44,7 @@
     'stop_ms': ('stop_takes', _MILLIS),
     'revocationMs': ('revocation', _MILLIS),
 }
-_STRICT = 'bounds.strictRevocation'
+_STRICT_REVOCATION_KEY = 'bounds.strictRevocation'
 
 
 class _Capacity(msgspec.Struct, rename='camel'):
@@ -65,7 +65,7 @@
     sequence: Count = 0
     warmup_left_ms: Annotated[float, msgspec.Meta(ge=0)] = 0
     remaining_ms: Annotated[float, msgspec.Meta(ge=0)] = 0
-    #: Start of its life, Unix milliseconds.
+    #: Start of the incarnation, Unix milliseconds.
     born: Count | None = None
 
 
@@ -75,16 +75,16 @@
     mem_mb: int = 0
     gpu: int = 0
     estimated_ms: float = 0
-    #: Numbers of earlier steps that must be done first; no revision.
+    #: Indices of the steps that must finish first; not a revision.
     after_revision: list[int] = []
     checkpointing: bool = False
     gang_scheduled: bool = False
     rack_local: bool = False
-    #: One label.
+    #: A label that the worker must have.
     requirements: str = ''
     #: The rack that holds the data.
     affinity: str = ''
-    #: Most tasks of the step on one worker.
+    #: Maximum number of the step's tasks on one worker; 0 is no limit.
     anti_affinity: int = 0
     speculative: bool = False
     long_running: bool = False
@@ -111,9 +111,10 @@
     worker: str,
     raw: bytes,
 ) -> Result[WorkerEntry, InvalidEntry]:
-    """Decode what a worker registers of itself, or what somebody else wrote.
+    """Decode a worker's registration, which may be by another writer.
 
-    What is missing has no default where placing needs it.
+    Fields that placement needs have no defaults: an entry without them is
+    rejected.
     """
     if not worker or BORN_SEPARATOR in worker:
         reason = f'{worker!r}, expected a name without {BORN_SEPARATOR!r}'
@@ -152,12 +153,12 @@
     except DECODE_ERRORS as error:
         return Err(str(error))
     if len(job.spec.encode()) > _MAX_TEXT_BYTES:
-        return Err(f'expected at most {_MAX_TEXT_BYTES} bytes of text')
+        return Err(f'spec: expected at most {_MAX_TEXT_BYTES} bytes of text')
     if not job.phases:
         return Err('expected at least one step, got none')
     for number, step in enumerate(job.phases):
         if step.count < 1:
-            return Err(f'step {number}: expected tasks, got {step.count!r}')
+            return Err(f'step {number}: expected a task, got {step.count!r}')
         if any(not 0 <= earlier < number for earlier in step.after_revision):
             return Err(
                 f'step {number}: expected earlier steps, '
@@ -175,17 +176,17 @@
 
 
 def _describe(raw: bytes, error: Exception) -> str:
-    """Quote what could not be decoded, and what was expected."""
+    """Return the error, preceded by the start of the bytes decoded."""
     return f'{raw[:_MAX_QUOTED]!r}: {error}'
 
 
 def decode_settings(text: str) -> InstanceSettings:
-    """Decode a process's settings file; unknown lines are passed over.
+    """Decode the settings file of an instance; unknown keys are ignored.
 
     Raises
     ------
     KeyError
-        If a line that is needed is missing.
+        If a required key is missing.
     """
     lines = (line.partition('=') for line in text.splitlines())
     value_by_key = {key.strip(): value.strip() for key, _, value in lines}
@@ -207,9 +208,10 @@
 
 
 def _speed(value_by_key: dict[str, str]) -> float:
-    """Return the machine's processor in cores.
+    """Return the instance's processor speed in cores.
 
-    It is the named share of one core that is as fast as all of them together.
+    The settings give a share of a single core that is as fast as all cores
+    together.
     """
     share = float(value_by_key.get('limits.cpuShare') or 1)
     return share * float(value_by_key.get('limits.cpuCores') or 1)
@@ -221,7 +223,7 @@
         for key, (name, divisor) in _BOUND_BY_KEY.items()
         if value_by_key.get(f'bounds.{key}')
     }
-    strict = value_by_key.get(_STRICT, '').lower() == 'true'
+    strict = value_by_key.get(_STRICT_REVOCATION_KEY, '').lower() == 'true'
     return Bounds(**given, strict_revocation=strict)
 
 
--- a/orchidrail/platform/http_calls.py
+++ b/orchidrail/platform/http_calls.py
@@ -1,4 +1,4 @@
-"""Plain HTTP calls to the platform, its workers and its advice service."""
+"""HTTP calls to the platform, its workers and its advice service."""
 
 from __future__ import annotations
 
@@ -24,28 +24,29 @@
 from orchidrail.types import Address, Seconds
 
 _log = structlog.get_logger()
-#: Connections to one address: a held one, and starts beside it.
-_PER_HOST = 6
+#: Connections to one address: a long poll, and starts in parallel.
+_CONNECTIONS_PER_ADDRESS = 6
 _CONNECT_TIMEOUT: Seconds = 0.5
-#: Time in which an answer that has begun must be there: the store lists 1 MB
-#: at once, which takes 1.6 s at 5 Mbit/s.
-_LONGEST_ANSWER: Seconds = 4.0
-#: Idle connections are kept longer than a worker is left alone.
+#: Time in which a response that has begun must be complete. The store lists
+#: 1 MB at once, which takes 1.6 s at 5 Mbit/s.
+_MAX_RESPONSE_DURATION: Seconds = 4.0
+#: Idle connections are kept open; longer than a worker stays without a call.
 _KEEP_ALIVE: Seconds = 60
-#: Body that stands for an answer which did not come in time.
-_SILENT = b'silent'
-#: Tries to find a greeted connection: all that there may be may lack it.
-_GREETED_FOR_CALL = _PER_HOST + 1
-#: Addresses that must fall silent at once for others to be doubted too.
-_SEVERAL = 3
-#: What counts as at once: looks at workers time out after 0.25 to 1.05 s.
-_AT_ONCE: Seconds = 0.5
-#: An address that was heard from so shortly before its silent call began is
-#: taken for one whose connection went silent, not for one that is down.
-_HEARD_WITHIN: Seconds = 1.5
-#: Least time between two rounds of dropping: each costs new connections.
-_DROP_ALL_EVERY: Seconds = 3.0
-#: Failures after which the call can't have got through.
+#: Body of the placeholder for a response that timed out.
+_TIMED_OUT = b'silent'
+#: Attempts to get a verified connection: all open ones may be unverified.
+_VERIFICATION_ATTEMPTS = _CONNECTIONS_PER_ADDRESS + 1
+#: Addresses that must stop responding at about the same time before
+#: connections to other addresses are dropped too.
+_MIN_UNRESPONSIVE = 3
+#: Window for that; polls of workers time out after 0.25 to 1.05 s.
+_UNRESPONSIVE_WINDOW: Seconds = 0.5
+#: If an address responded so shortly before the call that timed out began, its
+#: connection is treated as unresponsive, rather than the address as down.
+_RECENT_RESPONSE: Seconds = 1.5
+#: Minimum time between two such drops, since each costs new connections.
+_DROP_ALL_INTERVAL: Seconds = 3.0
+#: Errors after which the call can't have reached the receiver.
 _NOT_REACHED = (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError)
 _JSON = {'Content-Type': 'application/json'}
 
@@ -57,25 +58,25 @@
 
 
 class DropReason(Enum):
-    """Why the open connections to an address are used no longer."""
-
-    #: A call on one of them got no answer in time.
-    SILENT = 'silent'
-    #: Several other addresses went silent at once.
-    OTHERS_SILENT = 'othersSilent'
-    #: A call was made again beside one that is silent so far.
-    DOUBTED = 'doubted'
-    #: Nothing was heard from the address for long.
+    """Why the open connections to an address are no longer used."""
+
+    #: A call on one of them timed out.
+    TIMED_OUT = 'silent'
+    #: Several other addresses stopped responding at the same time.
+    OTHERS_TIMED_OUT = 'othersSilent'
+    #: A call was hedged on a new connection.
+    HEDGED = 'doubted'
+    #: The address has not responded for long.
     UNUSED = 'unused'
 
 
 class HttpCaller:
-    """Connections for all calls that go out, in a pool for each address.
+    """Connections for all outgoing calls, in one pool per address.
 
-    A connection may go silent for good while new ones work. So all idle ones
-    to an address are dropped once one of them gave no answer in time; where
-    several addresses fall silent at once, also those that have not been heard
-    from since.
+    An open connection may permanently stop responding while new ones work. So
+    all idle connections to an address are dropped when a call on one of them
+    times out. If several addresses stop responding at the same time, so are
+    those to the addresses that have not responded since.
 
     Parameters
     ----------
@@ -84,15 +85,15 @@
     """
 
     def __init__(self, clock: Callable[[], Seconds] = elapsed) -> None:
-        """Open no connection yet; must be made inside the event loop."""
+        """Start without connections; must run inside the event loop."""
         self._clock = clock
         self._pool_by_address: dict[Address, _Pool] = {}
-        self._silences: dict[Address, Seconds] = {}
+        self._timed_out_at: dict[Address, Seconds] = {}
         self._all_dropped_at: Seconds = -math.inf
         self._closing = BackgroundTasks('closing of connections')
-        #: Told why connections to an address were dropped.
+        #: Called with the reason when connections to an address are dropped.
         self.on_drop: Callable[[DropReason], None] | None = None
-        #: Called when several addresses went silent at once.
+        #: Called when several addresses stop responding at the same time.
         self.on_many_unresponsive: Callable[[], None] | None = None
 
     async def close(self) -> None:
@@ -106,30 +107,30 @@
         address: Address,
         call: RawCall,
         headers: dict[str, str] | None = None,
-        greeting: ConnectionProbe | None = None,
+        probe: ConnectionProbe | None = None,
     ) -> RawAnswer:
-        """Make one call; a connection that stays silent is given up.
+        """Make one call; its connections are dropped if it times out.
 
-        An answer that is coming is waited for: a long one takes seconds on a
-        slow link. With a greeting the call goes only to its receiver.
+        The timeout applies to pauses: a large response may take seconds on a
+        slow link. With a probe, the call is sent only to the probe's receiver.
 
         Returns
         -------
-        The answer, with status 0 if there is none; `reached` is then False
-        only if the call can't have got through.
+        The response, with status 0 if there is none; `reached` is then False
+        only if the call can't have reached the receiver.
         """
         if call.new_connection and address in self._pool_by_address:
             pool = self._pool_by_address[address]
-            self._drop(address, pool, DropReason.DOUBTED)
+            self._drop(address, pool, DropReason.HEDGED)
         pool = self._pool(address)
         pool.calls += 1
         try:
-            answer = await pool.call(address, call, headers, greeting)
+            answer = await pool.call(address, call, headers, probe)
         finally:
             pool.calls -= 1
             self._close_if_done(pool)
-        if answer.body is _SILENT:
-            self._note_silence(address, pool, call.timeout)
+        if answer.body is _TIMED_OUT:
+            self._handle_timeout(address, pool, call.timeout)
         if answer.status:
             pool.last_response_at = self._clock()
         return answer
@@ -139,17 +140,17 @@
         if pool is None:
             pool = _Pool(self._clock())
             self._pool_by_address[address] = pool
-            self._forget_unused()
+            self._drop_unused()
         return pool
 
-    def _forget_unused(self) -> None:
-        """Drop the pools of addresses that are gone."""
+    def _drop_unused(self) -> None:
+        """Drop the pools of addresses that no longer respond."""
         before = self._clock() - _KEEP_ALIVE
         for address, pool in list(self._pool_by_address.items()):
             if pool.last_response_at < before and not pool.calls:
                 self._drop(address, pool, DropReason.UNUSED)
 
-    def _note_silence(
+    def _handle_timeout(
         self,
         address: Address,
         pool: _Pool,
@@ -158,42 +159,44 @@
         now = self._clock()
         if self._pool_by_address.get(address) is not pool:
             return
-        fresh = now - pool.last_response_at - waited < _HEARD_WITHIN
+        recently_responsive = (
+            now - pool.last_response_at - waited < _RECENT_RESPONSE
+        )
         _log.info(
             'connections dropped',
             address=address,
             silent_for=round(now - pool.last_response_at, 3),
             calls_in_progress=pool.calls,
         )
-        self._drop(address, pool, DropReason.SILENT)
-        if fresh:
-            self._silences[address] = now
-            self._look_for_others(now, waited)
-
-    def _look_for_others(self, now: Seconds, waited: Seconds) -> None:
-        """Drop other silent connections if several went silent at once."""
-        self._silences = {
+        self._drop(address, pool, DropReason.TIMED_OUT)
+        if recently_responsive:
+            self._timed_out_at[address] = now
+            self._drop_unresponsive(now, waited)
+
+    def _drop_unresponsive(self, now: Seconds, waited: Seconds) -> None:
+        """Drop others if several addresses became unresponsive together."""
+        self._timed_out_at = {
             address: at
-            for address, at in self._silences.items()
-            if now - at < _AT_ONCE
+            for address, at in self._timed_out_at.items()
+            if now - at < _UNRESPONSIVE_WINDOW
         }
-        if len(self._silences) < _SEVERAL:
+        if len(self._timed_out_at) < _MIN_UNRESPONSIVE:
             return
-        if now - self._all_dropped_at < _DROP_ALL_EVERY:
+        if now - self._all_dropped_at < _DROP_ALL_INTERVAL:
             return
         self._all_dropped_at = now
-        before = now - max(waited, _AT_ONCE)
-        unheard = [
+        before = now - max(waited, _UNRESPONSIVE_WINDOW)
+        unresponsive = [
             (address, pool)
             for address, pool in self._pool_by_address.items()
             if pool.last_response_at < before
         ]
-        for address, pool in unheard:
-            self._drop(address, pool, DropReason.OTHERS_SILENT)
+        for address, pool in unresponsive:
+            self._drop(address, pool, DropReason.OTHERS_TIMED_OUT)
         _log.warning(
             'several addresses silent',
-            silent=list(self._silences),
-            dropped=len(unheard),
+            silent=list(self._timed_out_at),
+            dropped=len(unresponsive),
         )
         if self.on_many_unresponsive is not None:
             self.on_many_unresponsive()
@@ -204,7 +207,7 @@
         pool: _Pool,
         reason: DropReason,
     ) -> None:
-        """Use new connections from now on; what is in progress may end."""
+        """Use new connections from now on; calls in progress may complete."""
         if self.on_drop is not None:
             self.on_drop(reason)
         self._pool_by_address.pop(address, None)
@@ -221,7 +224,7 @@
 
     def __init__(self, now: Seconds) -> None:
         self._connector = VerifyingConnector(
-            limit=_PER_HOST,
+            limit=_CONNECTIONS_PER_ADDRESS,
             keepalive_timeout=_KEEP_ALIVE,
             ttl_dns_cache=None,
             socket_factory=_make_socket,
@@ -241,49 +244,49 @@
         address: Address,
         call: RawCall,
         headers: dict[str, str] | None,
-        greeting: ConnectionProbe | None,
+        probe: ConnectionProbe | None,
     ) -> RawAnswer:
-        """Make one call; its body is `_SILENT` if none came in time."""
-        if greeting is None:
+        """Make one call; on a timeout the body is `_TIMED_OUT`."""
+        if probe is None:
             return await self._send(address, call, headers)
-        for _ in range(_GREETED_FOR_CALL):
+        for _ in range(_VERIFICATION_ATTEMPTS):
             try:
-                with connections_to(greeting.receiver):
+                with connections_to(probe.receiver):
                     return await self._send(address, call, headers)
             except UnverifiedConnectionError as error:
-                refusal = await self._greet(
+                rejection = await self._verify(
                     address,
-                    greeting,
+                    probe,
                     headers,
                     error.connection,
                 )
-            if refusal is not None:
-                return refusal
+            if rejection is not None:
+                return rejection
         return RawAnswer(0, b'no connection was greeted', reached=False)
 
-    async def _greet(
+    async def _verify(
         self,
         address: Address,
-        greeting: ConnectionProbe,
+        probe: ConnectionProbe,
         headers: dict[str, str] | None,
         connection: Any,
     ) -> RawAnswer | None:
-        """Learn who is at the other end of a connection.
+        """Probe which receiver a connection leads to.
 
         Returns
         -------
-        None if it is the receiver, else the answer of a call to it, which was
-        not made.
+        None if it is the receiver of the probe, else the response of the call,
+        which must not be sent.
         """
         protocol = connection.protocol
-        with connections_to(greeting.receiver, connection):
-            answer = await self._send(address, greeting.call, headers)
+        with connections_to(probe.receiver, connection):
+            answer = await self._send(address, probe.call, headers)
         if not answer.status:
             return answer._replace(reached=False)
-        refusal = greeting.check(answer)
-        if refusal is None:
-            self._connector.mark_verified(protocol, greeting.receiver)
-        return refusal
+        rejection = probe.check(answer)
+        if rejection is None:
+            self._connector.mark_verified(protocol, probe.receiver)
+        return rejection
 
     async def _send(
         self,
@@ -292,7 +295,7 @@
         headers: dict[str, str] | None,
     ) -> RawAnswer:
         timeout = aiohttp.ClientTimeout(
-            total=call.timeout + _LONGEST_ANSWER,
+            total=call.timeout + _MAX_RESPONSE_DURATION,
             connect=call.timeout,
             sock_connect=min(_CONNECT_TIMEOUT, call.timeout),
             sock_read=call.timeout,
@@ -309,6 +312,6 @@
         except _NOT_REACHED as error:
             return RawAnswer(0, repr(error).encode(), reached=False)
         except asyncio.TimeoutError:
-            return RawAnswer(0, _SILENT)
+            return RawAnswer(0, _TIMED_OUT)
         except (aiohttp.ClientError, OSError) as error:
             return RawAnswer(0, repr(error).encode())
--- a/orchidrail/platform/store_log.py
+++ b/orchidrail/platform/store_log.py
@@ -1,4 +1,4 @@
-"""The platform's log as the product's store."""
+"""Store on the platform's log service."""
 
 from __future__ import annotations
 
@@ -25,11 +25,12 @@
 from orchidrail.store.relay import RawCall, SendCall
 from orchidrail.types import Offset, Seconds
 
-#: Streams that the platform and the operator write.
+#: Streams written by the platform and by the operator.
 OPERATOR_TOPIC = Topic('keyed.op')
 WORKER_TOPIC = Topic('keyed.servers')
 STATUS_TOPIC = Topic('keyed.status')
-#: The product's own streams; the prefix makes the store keep the newest.
+#: The product's own streams; the prefix makes the store retain the newest
+#: record of each key.
 MEMBER_TOPIC = Topic('keyed.members')
 JOURNAL_NAME = 'keyed.journal'
 
@@ -42,7 +43,7 @@
 _READ_KB = 1024
 _TIMEOUT: Seconds = 1.2
 _MILLIS = 1000
-#: Bytes of an unexpected answer that are shown.
+#: Bytes of an unexpected response that are quoted.
 _MAX_QUOTED = 80
 
 
@@ -56,7 +57,7 @@
 
 
 class _Item(msgspec.Struct, rename='camel'):
-    #: The record's key; it has to do with no certificate.
+    #: The record's key; unrelated to TLS.
     tls_key: str
     value: str = ''
     offset: int = 0
@@ -74,16 +75,16 @@
 
 
 class PlatformLog:
-    """Fits `StoreLog`.
+    """Implements `StoreLog`.
 
     Parameters
     ----------
     call : callable
-        Makes a call to the store.
+        Sends a call to the store.
     """
 
     def __init__(self, call: SendCall) -> None:
-        """Hold the way to the store."""
+        """Keep the function that calls the store."""
         self._call = call
 
     async def append(
@@ -181,7 +182,7 @@
         record = body[position : position + length]
         position += length
         key_end = 1 + record[0] if record else 0
-        # Somebody else's key may be any bytes; it then names nothing of ours.
+        # Keys by other writers may be any bytes; they match no key in use.
         key = record[1:key_end].decode(errors='replace')
         records.append(KeyedRecord(key, record[key_end:]))
     return RecordPage(Offset(end), records)
--- a/orchidrail/platform/tests/test_callers.py
+++ b/orchidrail/platform/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of how callers' bodies are read."""
+"""Tests of the HTTP API for callers."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 from orchidrail.work.records import FailureCause, JobPhase
 from orchidrail.work.tests.test_job import make_job
 
-_MOST = 100
+_MAX_BYTES = 100
 _BODY = b'{"spec":"text","phases":[{"count":1}]}'
 
 
 class _Request:
-    """A request whose body comes in pieces; None in place of one hangs."""
+    """A request with a body in chunks; a chunk of None hangs."""
 
     method = 'POST'
     url = URL(b'/q/0123456789abcdef')
 
-    def __init__(self, *pieces: bytes | None) -> None:
-        self._pieces = pieces
+    def __init__(self, *chunks: bytes | None) -> None:
+        self._chunks = chunks
         self._header_by_name = {
             b'Host': b'host',
             b'X-Orchidrail-Deadline-Ms': b'200',
@@ -37,11 +37,11 @@
         return self._header_by_name.get(name)
 
     async def stream(self) -> AsyncIterator[bytes]:
-        for piece in self._pieces:
-            if piece is None:
+        for chunk in self._chunks:
+            if chunk is None:
                 await asyncio.sleep(10)
             else:
-                yield piece
+                yield chunk
 
 
 class _Forwarder:
@@ -57,18 +57,18 @@
 
 
 class CallersTest(AsyncTestCase):
-    def status(self, *pieces: bytes | None) -> int:
+    def status(self, *chunks: bytes | None) -> int:
         """Send a submission; return the status of its answer."""
         config = CellConfig(
             1,
             (make_job(StepSpec(1)).queue,),
-            IngressLimits(100, _MOST, 1, 1),
+            IngressLimits(100, _MAX_BYTES, 1, 1),
         )
         api = CallerApi(cast('Any', _Forwarder()), lambda: config, bool)
-        answering = api._answer(cast('Any', _Request(*pieces)))
+        answering = api._answer(cast('Any', _Request(*chunks)))
         return self.run_async(answering).status
 
-    def test_a_job_that_was_given_up_says_why(self) -> None:
+    def test_a_failed_job_reports_the_cause(self) -> None:
         request = _Request()
         request.method = 'GET'
         config = CellConfig(1, (make_job(StepSpec(1)).queue,))
@@ -77,14 +77,14 @@
         cause = response.get_first_header(b'X-Orchidrail-Failure-Cause')
         self.assertEqual(b'crashedWorkers', cause)
 
-    def test_a_body_in_pieces_is_taken(self) -> None:
+    def test_a_chunked_body_is_accepted(self) -> None:
         self.assertEqual(200, self.status(_BODY[:9], _BODY[9:]))
 
-    def test_a_body_that_stops_coming_is_given_up(self) -> None:
+    def test_an_incomplete_body_times_out(self) -> None:
         self.assertEqual(408, self.status(_BODY[:9], None))
 
-    def test_a_body_that_is_too_long_is_refused(self) -> None:
-        self.assertEqual(413, self.status(b'x' * _MOST, b'x'))
+    def test_a_body_that_is_too_long_is_rejected(self) -> None:
+        self.assertEqual(413, self.status(b'x' * _MAX_BYTES, b'x'))
 
-    def test_a_body_that_makes_no_sense_is_refused(self) -> None:
+    def test_an_invalid_body_is_rejected(self) -> None:
         self.assertEqual(400, self.status(b'{"spec":1}'))
--- a/orchidrail/platform/tests/test_codecs.py
+++ b/orchidrail/platform/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""Tests of the platform's formats, on its own published examples."""
+"""Tests of the platform's formats, using its published examples."""
 
 from __future__ import annotations
 
@@ -75,7 +75,7 @@
         self.assertEqual(b'\x00\x00\x00\x06\x02abxyz', self.calls[0].body)
         self.assertIn('topic=keyed.x&part=2&at=7', self.calls[0].target)
 
-    def test_endings_of_an_append(self) -> None:
+    def test_outcomes_of_an_append(self) -> None:
         table = (
             (RawAnswer(412, b'{"end":9}'), EndMoved),
             (RawAnswer(503), NotAppended),
@@ -96,7 +96,7 @@
         records = [KeyedRecord('a', b'v'), KeyedRecord('b', b'')]
         self.assertEqual(RecordPage(Offset(9), records), page)
 
-    def test_records_that_are_gone(self) -> None:
+    def test_trimmed_records(self) -> None:
         self.answer = RawAnswer(410, b'{"first":5}')
         outcome = self.run_async(self.log.read(_TOPIC, Offset(1)))
         self.assertEqual(Trimmed(Offset(5)), outcome)
@@ -114,7 +114,7 @@
 
 
 def _entry(**changes: object) -> bytes:
-    """Return an entry with other fields; None leaves one out."""
+    """Return an entry with changed fields; None omits a field."""
     fields: dict[str, object] = {
         'service': 's',
         'address': '10.1.0.5:8500',
@@ -128,8 +128,8 @@
         'labels': ['a', 'r1-3'],
     }
     fields |= changes
-    kept = {key: one for key, one in fields.items() if one is not None}
-    return json.dumps(kept, separators=(',', ':')).encode()
+    present = {key: one for key, one in fields.items() if one is not None}
+    return json.dumps(present, separators=(',', ':')).encode()
 
 
 class _Caller:
@@ -142,7 +142,7 @@
         address: str,
         call: RawCall,
         headers: dict[str, str],
-        greeting: ConnectionProbe | None = None,
+        probe: ConnectionProbe | None = None,
     ) -> RawAnswer:
         self.bodies.append(json.loads(call.body))
         self.headers = headers
@@ -150,16 +150,16 @@
 
 
 class WorkerCallsTest(AsyncTestCase):
-    def play(
+    def run_scenario(
         self,
         answer: RawAnswer,
-        scene: Callable[[PlatformWorkers], Awaitable[object]],
+        scenario: Callable[[PlatformWorkers], Awaitable[object]],
     ) -> tuple[object, _Caller]:
         caller = _Caller(answer)
         workers = PlatformWorkers(caller)  # type: ignore[arg-type]
 
         async def run() -> object:
-            return await scene(workers)
+            return await scenario(workers)
 
         return self.run_async(run()), caller
 
@@ -177,7 +177,7 @@
             (RawAnswer(0, reached=False), OrderResult.NOT_SENT),
         )
         for answer, expected in table:
-            outcome, caller = self.play(
+            outcome, caller = self.run_scenario(
                 answer,
                 lambda workers: workers.start(make_entry(), order, 1),
             )
@@ -185,15 +185,15 @@
             self.assertIs(expected, outcome.result)
         self.assertEqual(486_000, caller.bodies[0]['deadlineMs'])
         self.assertEqual('saved', caller.bodies[0]['checkpoint'])
-        expected_life = {'X-Orchidrail-Expect-Instance': 'w-1'}
-        self.assertEqual(expected_life, caller.headers)
+        expected_headers = {'X-Orchidrail-Expect-Instance': 'w-1'}
+        self.assertEqual(expected_headers, caller.headers)
 
     def test_a_listing(self) -> None:
         body = (
             b'{"clockMs":482113,"active":[["j.0.1.17",2,"saved",41]],'
             b'"ended":[[58,"j.0.1.9",1,"done",""]]}'
         )
-        listing, caller = self.play(
+        listing, caller = self.run_scenario(
             RawAnswer(200, body),
             lambda workers: workers.hold(
                 make_entry(),
@@ -237,7 +237,7 @@
             ),
         )
 
-    def test_jobs_that_make_no_sense(self) -> None:
+    def test_invalid_jobs_are_rejected(self) -> None:
         for raw in (
             b'',
             b'{"spec":1}',
@@ -258,34 +258,34 @@
         self.assertIs(WorkerState.DRAINING, entry.state)
         self.assertEqual(('r1-3', 4), (entry.rack, entry.leaves_in))
 
-    def test_a_life_of_a_worker(self) -> None:
+    def test_an_incarnation_of_a_worker(self) -> None:
         raw = _entry(born=1712345678901)
         entry = self.assert_ok(documents.decode_worker('i-1', raw))
         self.assertEqual('i-1', entry.name)
         self.assertEqual('i-1@1712345678901', entry.worker)
 
-    def test_a_start_that_is_no_whole_number_names_no_worker(self) -> None:
+    def test_an_entry_with_an_invalid_start_is_rejected(self) -> None:
         for born in ('1712345678901', 1.5, True, [1], -5):
-            flaw = self.flaw_of(_entry(born=born))
-            self.assertIs(EntryErrorKind.FIELD, flaw)
+            kind = self.error_kind(_entry(born=born))
+            self.assertIs(EntryErrorKind.FIELD, kind)
 
-    def test_a_name_that_looks_like_a_life_names_no_worker(self) -> None:
+    def test_an_entry_with_an_invalid_name_is_rejected(self) -> None:
         for name in ('i-1@5', ''):
-            flaw = self.flaw_of(_entry(), name)
-            self.assertIs(EntryErrorKind.NAME, flaw)
+            kind = self.error_kind(_entry(), name)
+            self.assertIs(EntryErrorKind.NAME, kind)
 
-    def flaw_of(self, raw: bytes, name: str = 'i-1') -> EntryErrorKind:
+    def error_kind(self, raw: bytes, name: str = 'i-1') -> EntryErrorKind:
         outcome = documents.decode_worker(name, raw)
         assert isinstance(outcome, Err)
         return outcome.err_value.kind
 
-    def test_an_entry_that_lacks_a_field_names_no_worker(self) -> None:
+    def test_an_entry_with_a_missing_field_is_rejected(self) -> None:
         self.assert_ok(documents.decode_worker('i-1', _entry()))
         for field in _NEEDED:
-            flaw = self.flaw_of(_entry(**{field: None}))
-            self.assertIs(EntryErrorKind.FIELD, flaw)
+            kind = self.error_kind(_entry(**{field: None}))
+            self.assertIs(EntryErrorKind.FIELD, kind)
 
-    def test_an_entry_by_another_writer_names_no_worker(self) -> None:
+    def test_an_entry_with_an_invalid_field_is_rejected(self) -> None:
         for field, given in (
             ('service', ''), ('service', 7), ('address', ''),
             ('address', 'nowhere'), ('address', 'a:0'), ('address', 'a:b'),
@@ -298,8 +298,8 @@
             ('sequence', 'x'), ('version', 3), ('warmupLeftMs', -4),
             ('remainingMs', '9'),
         ):  # fmt: skip
-            flaw = self.flaw_of(_entry(**{field: given}))
-            self.assertIs(EntryErrorKind.FIELD, flaw, (field, given))
+            kind = self.error_kind(_entry(**{field: given}))
+            self.assertIs(EntryErrorKind.FIELD, kind, (field, given))
         for raw in (
             b'',
             b'\xff\xfe',
@@ -307,10 +307,10 @@
             b'{"x":' + b'[' * 100_000,
             b'{"service":"\xff"}',
         ):
-            self.assertIs(EntryErrorKind.UNREADABLE, self.flaw_of(raw))
-        self.assertIs(EntryErrorKind.FIELD, self.flaw_of(b'[]'))
+            self.assertIs(EntryErrorKind.UNREADABLE, self.error_kind(raw))
+        self.assertIs(EntryErrorKind.FIELD, self.error_kind(b'[]'))
 
-    def test_the_reason_quotes_what_was_met(self) -> None:
+    def test_the_reason_quotes_the_entry(self) -> None:
         outcome = documents.decode_worker('i-1', _entry(state='resting'))
         assert isinstance(outcome, Err)
         self.assertIn("'resting'", outcome.err_value.reason)
@@ -331,13 +331,13 @@
         self.assertEqual(5, config.limits.body_bytes)
         self.assertIsNone(config.find_queue('other', '/p/0123'))
 
-    def test_settings_pass_over_what_is_not_known(self) -> None:
+    def test_unknown_settings_are_ignored(self) -> None:
         settings = documents.decode_settings(_SETTINGS)
         self.assertEqual('10.1.0.13:7720', settings.peers)
         self.assertEqual(5, settings.bounds.longest_lease)
         self.assertEqual(1, settings.bounds.stop_takes)
 
-    def test_settings_say_how_strictly_keys_are_revoked(self) -> None:
+    def test_settings_of_key_revocation(self) -> None:
         for word, strict in (('true', True), ('false', False), ('', False)):
             lines = f'bounds.strictRevocation={word}\nbounds.revocationMs=4500'
             settings = documents.decode_settings(f'{_SETTINGS}\n{lines}')
--- a/orchidrail/platform/tests/test_http_calls.py
+++ b/orchidrail/platform/tests/test_http_calls.py
@@ -1,4 +1,4 @@
-"""Tests of plain calls: what is waited for, and what is given up."""
+"""Tests of HTTP calls: timeouts and dropped connections."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from orchidrail.testing import AsyncTestCase
 from orchidrail.types import Address
 
-_PIECES = 6
-_PIECE_EVERY = 0.1
-_DOUBTED_AFTER = 0.6
+_CHUNKS = 6
+_CHUNK_INTERVAL = 0.1
+_IDLE_TIME = 0.6
 _TIMEOUT = 0.3
-_HEAD = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % _PIECES
+_HEAD = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % _CHUNKS
 
 
 @asynccontextmanager
-async def _server(pieces: int) -> AsyncGenerator[Address, None]:
-    """Serve an answer piece by piece, of which only so many are sent."""
+async def _server(chunks: int) -> AsyncGenerator[Address, None]:
+    """Serve a response in chunks, of which only `chunks` are sent."""
 
     async def serve(
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         await reader.readuntil(b'\r\n\r\n')
-        if pieces:
+        if chunks:
             writer.write(_HEAD)
-        for _ in range(pieces):
-            await asyncio.sleep(_PIECE_EVERY)
+        for _ in range(chunks):
+            await asyncio.sleep(_CHUNK_INTERVAL)
             writer.write(b'x')
         await reader.read()
         writer.close()
@@ -44,17 +44,17 @@
         server.close()
 
 
-class _SilencingServer:
-    """Answers at once, until its open connections are silenced."""
+class _StallingServer:
+    """Responds at once, until its open connections are silenced."""
 
     def __init__(self) -> None:
         self.address = Address('')
-        self._silenced: set[asyncio.StreamWriter] = set()
+        self._stalled: set[asyncio.StreamWriter] = set()
         self._open: set[asyncio.StreamWriter] = set()
 
-    def silence(self) -> None:
-        """Read on, and answer nothing more, on all that are open now."""
-        self._silenced.update(self._open)
+    def stall(self) -> None:
+        """Stop responding, but keep reading, on all open connections."""
+        self._stalled.update(self._open)
 
     async def serve(
         self,
@@ -65,7 +65,7 @@
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 await reader.readuntil(b'\r\n\r\n')
-                if writer not in self._silenced:
+                if writer not in self._stalled:
                     writer.write(
                         b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n'
                     )
@@ -74,113 +74,113 @@
 
 
 @asynccontextmanager
-async def _silencing_server() -> AsyncGenerator[_SilencingServer, None]:
-    silencing = _SilencingServer()
-    server = await asyncio.start_server(silencing.serve, '127.0.0.1')
+async def _stalling_server() -> AsyncGenerator[_StallingServer, None]:
+    stalling = _StallingServer()
+    server = await asyncio.start_server(stalling.serve, '127.0.0.1')
     host, port = server.sockets[0].getsockname()
-    silencing.address = Address(f'{host}:{port}')
+    stalling.address = Address(f'{host}:{port}')
     try:
-        yield silencing
+        yield stalling
     finally:
         server.close()
 
 
 class HttpCallerTest(AsyncTestCase):
-    def call(self, pieces: int) -> tuple[RawAnswer, float]:
-        """Make one call; also return how long it took."""
+    def call(self, chunks: int) -> tuple[RawAnswer, float]:
+        """Make one call; also return its duration in seconds."""
 
-        async def scene() -> tuple[RawAnswer, float]:
+        async def run_scenario() -> tuple[RawAnswer, float]:
             caller = HttpCaller()
-            async with _server(pieces) as address:
-                began = time.monotonic()
+            async with _server(chunks) as address:
+                started_at = time.monotonic()
                 call = RawCall('GET', '/x', timeout=_TIMEOUT)
                 answer = await caller.call(address, call)
-                took = time.monotonic() - began
+                duration = time.monotonic() - started_at
                 await caller.close()
-            return answer, took
+            return answer, duration
 
-        return self.run_async(scene())
+        return self.run_async(run_scenario())
 
-    def test_an_answer_that_is_coming_is_waited_for(self) -> None:
-        answer, took = self.call(_PIECES)
-        self.assertEqual(b'x' * _PIECES, answer.body)
-        self.assertGreater(took, _TIMEOUT)
+    def test_a_slow_response_is_waited_for(self) -> None:
+        answer, duration = self.call(_CHUNKS)
+        self.assertEqual(b'x' * _CHUNKS, answer.body)
+        self.assertGreater(duration, _TIMEOUT)
 
-    def test_a_silent_receiver_is_given_up(self) -> None:
-        answer, took = self.call(0)
+    def test_an_unresponsive_receiver_times_out(self) -> None:
+        answer, duration = self.call(0)
         self.assertEqual(0, answer.status)
-        self.assertLess(took, 2 * _TIMEOUT)
+        self.assertLess(duration, 2 * _TIMEOUT)
 
-    def test_an_answer_that_stops_coming_is_given_up(self) -> None:
-        answer, took = self.call(_PIECES - 1)
+    def test_an_incomplete_response_times_out(self) -> None:
+        answer, duration = self.call(_CHUNKS - 1)
         self.assertEqual(0, answer.status)
-        self.assertLess(took, _PIECES * _PIECE_EVERY + 2 * _TIMEOUT)
+        self.assertLess(duration, _CHUNKS * _CHUNK_INTERVAL + 2 * _TIMEOUT)
 
-    def test_idle_connections_are_dropped_after_one_was_silent(self) -> None:
-        """Open connections go silent for good while new ones work."""
+    def test_idle_connections_are_dropped_after_a_timeout(self) -> None:
+        """Open connections stop responding for good while new ones work."""
 
-        async def scene() -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
             dropped: list[DropReason] = []
             caller.on_drop = dropped.append
             call = RawCall('GET', '/x', timeout=_TIMEOUT)
-            async with _silencing_server() as server:
+            async with _stalling_server() as server:
                 address = server.address
                 calls = (caller.call(address, call) for _ in range(4))
                 first = await asyncio.gather(*calls)
-                server.silence()
-                began = time.monotonic()
-                silent = await caller.call(address, call)
+                server.stall()
+                started_at = time.monotonic()
+                timed_out = await caller.call(address, call)
                 answers = [await caller.call(address, call) for _ in range(4)]
-                took = time.monotonic() - began
+                duration = time.monotonic() - started_at
                 await caller.close()
             self.assertEqual({200}, {answer.status for answer in first})
-            self.assertEqual(0, silent.status)
-            self.assertTrue(silent.reached)
+            self.assertEqual(0, timed_out.status)
+            self.assertTrue(timed_out.reached)
             self.assertEqual({200}, {answer.status for answer in answers})
-            self.assertLess(took, 2 * _TIMEOUT)
-            self.assertEqual([DropReason.SILENT], dropped)
+            self.assertLess(duration, 2 * _TIMEOUT)
+            self.assertEqual([DropReason.TIMED_OUT], dropped)
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
 
-    def test_where_several_are_silent_the_others_are_doubted(self) -> None:
-        async def scene() -> None:
+    def test_timeouts_of_several_addresses_drop_the_others_too(self) -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
             call = RawCall('GET', '/x', timeout=_TIMEOUT)
             async with AsyncExitStack() as stack:
                 servers = [
-                    await stack.enter_async_context(_silencing_server())
+                    await stack.enter_async_context(_stalling_server())
                     for _ in range(6)
                 ]
                 for server in servers:
                     await caller.call(server.address, call)
-                await asyncio.sleep(_DOUBTED_AFTER)
+                await asyncio.sleep(_IDLE_TIME)
                 for server in servers:
-                    server.silence()
+                    server.stall()
                 calls = [caller.call(one.address, call) for one in servers[:3]]
                 await asyncio.gather(*calls)
-                began = time.monotonic()
+                started_at = time.monotonic()
                 later = [
                     await caller.call(server.address, call)
                     for server in servers
                 ]
-                took = time.monotonic() - began
+                duration = time.monotonic() - started_at
                 await caller.close()
             self.assertEqual({200}, {answer.status for answer in later})
-            self.assertLess(took, _TIMEOUT)
+            self.assertLess(duration, _TIMEOUT)
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
 
-    def test_an_answer_in_progress_outlives_a_drop(self) -> None:
-        async def scene() -> None:
+    def test_a_response_in_progress_survives_a_drop(self) -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
-            async with _server(_PIECES) as address:
+            async with _server(_CHUNKS) as address:
                 slow = RawCall('GET', '/slow', timeout=2 * _TIMEOUT)
-                hasty = RawCall('GET', '/hasty', timeout=_PIECE_EVERY / 2)
+                short = RawCall('GET', '/short', timeout=_CHUNK_INTERVAL / 2)
                 coming = asyncio.create_task(caller.call(address, slow))
-                await asyncio.sleep(_PIECE_EVERY)
-                self.assertEqual(0, (await caller.call(address, hasty)).status)
-                self.assertEqual(b'x' * _PIECES, (await coming).body)
+                await asyncio.sleep(_CHUNK_INTERVAL)
+                self.assertEqual(0, (await caller.call(address, short)).status)
+                self.assertEqual(b'x' * _CHUNKS, (await coming).body)
                 await caller.close()
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
--- a/orchidrail/platform/tests/test_incarnations.py
+++ b/orchidrail/platform/tests/test_incarnations.py
@@ -1,9 +1,9 @@
-"""An order made for one life of a worker, and the next life at its address.
+"""Orders must not reach the next incarnation of a worker at its address.
 
-Seen: workers that crashed were back at once under the ids that they had. The
-id is all that an order's header names, so the next life would carry out what
-was decided for the one before, whose runs are started elsewhere by then. The
-order's deadline doesn't help: it is a time on a clock that has begun anew.
+Crashed workers come back at once under the same name, and the name is all that
+an order's header holds. So the next incarnation would execute an order meant
+for the previous one, whose runs are already restarted elsewhere. The order's
+deadline does not prevent that: the new incarnation's clock has restarted.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 _TIMEOUT = 0.5
 _KEY = RunKey(TaskKey('j.0.0.0'), RunNumber(1))
 _START = StartOrder(_KEY, 'text', deadline=900, epoch=Epoch(3))
-_ACKNOWLEDGES = HoldOrder(Epoch(3), deadline=900, last_seen=40)
+_POLL_WITH_ACK = HoldOrder(Epoch(3), deadline=900, last_seen=40)
 
 
 class _Worker:
-    """One address; `restart` ends the life there and begins the next."""
+    """A worker at one address; `restart` begins its next incarnation."""
 
     def __init__(self) -> None:
         self.address = Address('')
         self.born = 1000
-        #: Orders that each life has got, by its start.
+        #: Start of the incarnation, path and body of each order received.
         self.orders: list[tuple[int, str, dict[str, object]]] = []
         self._open: set[asyncio.StreamWriter] = set()
 
@@ -72,16 +72,18 @@
         order = json.loads(await reader.readexactly(length))
         path = head.split()[1]
         self.orders.append((self.born, path, order))
-        told = {'clockMs': 5, 'born': self.born, 'active': [], 'ended': []}
-        body = json.dumps(told if path == '/hold' else {'clockMs': 5}).encode()
+        listing = {'clockMs': 5, 'born': self.born, 'active': [], 'ended': []}
+        body = json.dumps(
+            listing if path == '/hold' else {'clockMs': 5}
+        ).encode()
         size = f'Content-Length: {len(body)}\r\n\r\n'
         writer.write(b'HTTP/1.1 200 OK\r\n' + size.encode() + body)
 
     def orders_of(self, born: int, path: str) -> list[dict[str, object]]:
         return [
             order
-            for life, called, order in self.orders
-            if (life, called) == (born, path)
+            for incarnation, called, order in self.orders
+            if (incarnation, called) == (born, path)
         ]
 
 
@@ -98,8 +100,8 @@
 
 
 class LivesTest(AsyncTestCase):
-    def test_a_start_reaches_no_other_life(self) -> None:
-        async def scene() -> None:
+    def test_a_start_reaches_no_other_incarnation(self) -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
             workers = PlatformWorkers(caller)
             async with _listening() as worker:
@@ -117,10 +119,10 @@
                 self.assertEqual(OrderResult.OTHER_INCARNATION, second.result)
             await caller.close()
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
 
-    def test_no_other_life_gets_an_acknowledgement_or_a_lease(self) -> None:
-        async def scene() -> None:
+    def test_polls_acknowledge_and_renew_no_other_incarnation(self) -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
             workers = PlatformWorkers(caller)
             async with _listening() as worker:
@@ -129,17 +131,17 @@
                     address=worker.address,
                     born=1000,
                 )
-                first = await workers.hold(entry, _ACKNOWLEDGES, _TIMEOUT)
+                first = await workers.hold(entry, _POLL_WITH_ACK, _TIMEOUT)
                 self.assertIsInstance(first, Listing)
                 worker.restart(born=2000)
                 await asyncio.sleep(0.05)
-                await workers.hold(entry, _ACKNOWLEDGES, _TIMEOUT)
+                await workers.hold(entry, _POLL_WITH_ACK, _TIMEOUT)
                 for order in worker.orders_of(2000, '/hold'):
                     self.assertEqual(0, order['lastSeen'])
                     self.assertNotIn('deadlineMs', order)
             await caller.close()
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
 
     async def open_connections(
         self,
@@ -147,14 +149,14 @@
         entry: WorkerEntry,
         count: int,
     ) -> None:
-        look = HoldOrder(Epoch(3))
-        looks = [workers.hold(entry, look, _TIMEOUT) for _ in range(count)]
-        await asyncio.gather(*looks)
+        poll = HoldOrder(Epoch(3))
+        polls = [workers.hold(entry, poll, _TIMEOUT) for _ in range(count)]
+        await asyncio.gather(*polls)
 
-    def test_connections_that_were_open_before_are_greeted_too(self) -> None:
-        """A worker may tell its start only later than it is first called."""
+    def test_already_open_connections_are_verified_too(self) -> None:
+        """A worker may be called before it reports its start."""
 
-        async def scene() -> None:
+        async def run_scenario() -> None:
             caller = HttpCaller()
             workers = PlatformWorkers(caller)
             async with _listening() as worker:
@@ -171,4 +173,4 @@
                     await asyncio.sleep(0.05)
             await caller.close()
 
-        self.run_async(scene())
+        self.run_async(run_scenario())
--- a/orchidrail/platform/tests/test_tenants.py
+++ b/orchidrail/platform/tests/test_tenants.py
@@ -1,8 +1,7 @@
-"""Whose call it is, by the key that it bears.
+"""Tests of the authentication of calls by their API key.
 
-Seen: calls with keys that no configuration had ever held were served, and so
-were calls with keys that had been taken away. Cause: the callers' interface
-read no key at all, and the configuration's tenants were passed over.
+They guard against calls being served with unknown or revoked keys, as happened
+when the API read no key and the decoder ignored the configuration's tenants.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 
 
 def make_document(**changes: object) -> dict[str, Any]:
-    """Return a configuration as the operator writes it."""
+    """Return a configuration document as the operator writes it."""
     tenant = {
         'name': 'kaje80',
         'apiKeys': ['first-key', 'second-key'],
@@ -48,7 +47,7 @@
 
 
 def decode(document: dict[str, Any]) -> Result[CellConfig, str]:
-    """Decode a configuration from what the operator writes."""
+    """Decode a configuration document."""
     return decode_config(json.dumps(document).encode())
 
 
@@ -68,7 +67,7 @@
 
 
 class _Forwarder:
-    """Answers each call; remembers that it was asked."""
+    """Answers each call and records it."""
 
     def __init__(self) -> None:
         self.asked: list[str] = []
@@ -105,7 +104,7 @@
         key: str | None,
         forwarder: _Forwarder | None = None,
     ) -> set[int]:
-        """Make each kind of call with a key; return the answers' states."""
+        """Make each kind of call with a key; return the status codes."""
         config = self.assert_ok(decode(document))
         api = CallerApi(
             cast('Any', forwarder or _Forwarder()), lambda: config, bool
@@ -117,7 +116,7 @@
             for method, path in _CALLS
         }
 
-    def test_a_key_that_no_configuration_held_is_refused(self) -> None:
+    def test_an_unknown_key_is_rejected(self) -> None:
         for key in ('third-key', '', None):
             forwarder = _Forwarder()
             self.assertEqual(
@@ -126,7 +125,7 @@
             self.assertEqual([], forwarder.asked)
         self.assertEqual({200}, self.statuses(make_document(), 'first-key'))
 
-    def test_a_key_that_was_taken_away_is_refused(self) -> None:
+    def test_a_revoked_key_is_rejected(self) -> None:
         tenant = dict(make_document()['tenants'][0], apiKeys=['second-key'])
         document = make_document(version=9, tenants=[tenant])
         self.assertEqual({401}, self.statuses(document, 'first-key'))
@@ -141,7 +140,7 @@
             (27, (40_000, 80_000, 0)), (tenant.weight, tenant.maximum)
         )
 
-    def test_what_makes_no_sense_is_quoted(self) -> None:
+    def test_errors_quote_the_invalid_value(self) -> None:
         tenant = make_document()['tenants'][0]
         for change, quoted in (
             ({'weight': -3}, '-3'),
@@ -152,7 +151,7 @@
             document = make_document(tenants=[{**tenant, **change}])
             self.assertIn(quoted, decode(document).unwrap_err())
 
-    def test_no_key_is_quoted(self) -> None:
+    def test_errors_quote_no_key(self) -> None:
         tenant = make_document()['tenants'][0]
         twin = {**tenant, 'name': 'other'}
         for tenants in (
@@ -163,11 +162,11 @@
             reason = decode(make_document(tenants=tenants)).unwrap_err()
             self.assertNotIn('-key', reason)
 
-    def test_tenants_that_are_no_list_open_nothing(self) -> None:
+    def test_tenants_must_be_a_list(self) -> None:
         for tenants in (None, {}, 'all'):
             self.assertTrue(decode(make_document(tenants=tenants)).is_err())
 
-    def test_without_tenants_nobody_needs_a_key(self) -> None:
+    def test_without_tenants_no_key_is_needed(self) -> None:
         document = make_document()
         document.pop('tenants')
         config = self.assert_ok(decode(document))
@@ -176,7 +175,7 @@
         answer = self.run_async(api._answer(cast('Any', request)))
         self.assertEqual(200, answer.status)
 
-    def test_a_public_route_takes_calls_without_a_key(self) -> None:
+    def test_a_public_route_accepts_calls_without_a_key(self) -> None:
         route = dict(_ROUTE, public=True)
         config = self.assert_ok(decode(make_document(routes=[route])))
         api = CallerApi(cast('Any', _Forwarder()), lambda: config, bool)
@@ -185,7 +184,7 @@
             answer = self.run_async(api._answer(cast('Any', request)))
             self.assertEqual(200, answer.status)
 
-    def test_an_outdated_machine_turns_calls_away(self) -> None:
+    def test_an_outdated_instance_rejects_calls(self) -> None:
         config = self.assert_ok(decode(make_document()))
         authenticator = CallAuthenticator(
             lambda: config, float, InstanceMetrics(), lambda: True
--- a/orchidrail/platform/verified_connections.py
+++ b/orchidrail/platform/verified_connections.py
@@ -1,9 +1,9 @@
-"""Connections on which is known who is at the other end.
+"""Connections whose receiver is verified.
 
-A connection leads to one process for as long as it is open, an address does
-not. So the first call on a connection is one that harms nobody; what is meant
-for one life of a worker goes only over a connection on which that life, and no
-other, has answered. It costs one look for each new connection.
+A connection leads to one process for as long as it is open; an address does
+not. So the first call on a new connection is a probe without side effects.
+Calls for one incarnation of a worker are sent only over connections on which
+that incarnation has answered the probe. The cost is one poll per connection.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 
 class ConnectionProbe(NamedTuple):
-    """How to learn whether a connection leads to whom a call is for.
+    """Verifies that a connection leads to the receiver of a call.
 
     Parameters
     ----------
     receiver : str
-        Whom the call is for.
+        Identity of the receiver.
     call : RawCall
-        Harms nobody, whoever answers it.
+        The probe; without side effects at any receiver.
     check : callable
-        From its answer to that of the call that can't be made, None if the
-        connection is the right one.
+        Maps the probe's response to the response of the call that must not be
+        sent; None if the connection leads to the receiver.
     """
 
     receiver: str
@@ -39,43 +39,43 @@
 
 
 class UnverifiedConnectionError(Exception):
-    """The connection at hand is not known to lead to the receiver.
+    """The available connection is not verified to lead to the receiver.
 
     Parameters
     ----------
     connection : aiohttp.connector.Connection
-        To be greeted, or released.
+        To be verified or released by the caller.
     """
 
     def __init__(self, connection: Any) -> None:
-        """Keep the connection from other calls."""
-        super().__init__(f'{connection!r} was not greeted')
+        """Reserve the connection for its verification."""
+        super().__init__(f'{connection!r} is not verified')
         self.connection = connection
 
 
-class _Use(NamedTuple):
-    """What a connection is wanted for; `greeted` is the one to be greeted."""
+class _ConnectionUse(NamedTuple):
+    """Receiver of a task's calls; `unverified` is a connection to verify."""
 
     receiver: str
-    greeted: Any = None
+    unverified: Any = None
 
 
-_use: ContextVar[_Use | None] = ContextVar('use', default=None)
+_use: ContextVar[_ConnectionUse | None] = ContextVar('use', default=None)
 
 
 @contextmanager
 def connections_to(
     receiver: str,
-    greeted: Any = None,
+    unverified: Any = None,
 ) -> Generator[None, None, None]:
-    """Have the connections that this task uses be for one receiver.
+    """Restrict the connections used by this task to one receiver.
 
     Parameters
     ----------
-    greeted : aiohttp.connector.Connection, optional
-        The one to use, which was not greeted yet.
+    unverified : aiohttp.connector.Connection, optional
+        The connection to use, although it is not verified yet.
     """
-    token = _use.set(_Use(receiver, greeted))
+    token = _use.set(_ConnectionUse(receiver, unverified))
     try:
         yield
     finally:
@@ -83,20 +83,20 @@
 
 
 class VerifyingConnector(aiohttp.TCPConnector):
-    """Hands out connections only to calls whose receiver they lead to.
+    """Provides calls with connections that lead to their receiver.
 
-    Calls that name no receiver get any connection.
+    Calls without a receiver get any connection.
     """
 
     def __init__(self, **options: Any) -> None:
-        """Know no connection."""
+        """Start without verified connections."""
         super().__init__(**options)
         self._receiver_by_protocol: WeakKeyDictionary[Any, str] = (
             WeakKeyDictionary()
         )
 
     def mark_verified(self, protocol: Any, receiver: str) -> None:
-        """Take that a connection leads to a receiver."""
+        """Record that a connection leads to a receiver."""
         self._receiver_by_protocol[protocol] = receiver
 
     async def connect(
@@ -110,11 +110,11 @@
         Raises
         ------
         UnverifiedConnectionError
-            If the connection at hand may lead to somebody else.
+            If the available connection may lead to another receiver.
         """
         use = _use.get()
-        if use is not None and use.greeted is not None:
-            return use.greeted
+        if use is not None and use.unverified is not None:
+            return use.unverified
         connection = await super().connect(req, traces, timeout)
         if use is None:
             return connection
--- a/orchidrail/platform/worker_calls.py
+++ b/orchidrail/platform/worker_calls.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's workers and questions to its advice service."""
+"""Orders to the platform's workers and requests to its advice service."""
 
 from __future__ import annotations
 
@@ -37,16 +37,16 @@
 
 _log = structlog.get_logger()
 _Body = TypeVar('_Body')
-#: Bytes of an answer that are quoted.
+#: Bytes of an invalid response that are logged.
 _MAX_QUOTED = 120
 _OK = 200
-_LIFE_HEADER = 'X-Orchidrail-Expect-Instance'
+_EXPECTED_NAME_HEADER = 'X-Orchidrail-Expect-Instance'
 _START = '/run-start'
 _STOP = '/run-stop'
-_LOOK = '/hold'
+_POLL = '/hold'
 _MILLIS = 1000
 _BAD_REQUEST = 400
-#: How the platform says that another life answers.
+#: Status by which another incarnation than the expected one responds.
 _MISDIRECTED = 421
 _RESULT_BY_STATUS = {
     _BAD_REQUEST: OrderResult.INVALID,
@@ -76,8 +76,8 @@
     run: int
     checkpoint: str | None = ''
     percent: float | None = 0
-    #: Over the last half second: the tail of a serving task's answers in
-    #: milliseconds, else the cores in use.
+    #: Over the last half second: the tail response time of a latency-sensitive
+    #: task in milliseconds, else the cores in use.
     load: float | None = 0
 
 
@@ -113,7 +113,7 @@
 
 
 class PlatformWorkers:
-    """Fits `WorkerCalls`."""
+    """Implements `WorkerCalls`."""
 
     def __init__(self, caller: HttpCaller) -> None:
         """Share the connections of `caller`."""
@@ -167,10 +167,10 @@
             body['deadlineMs'] = int(order.deadline * _MILLIS)
         if order.wait:
             body['waitMs'] = int(order.wait * _MILLIS)
-        answer = await self._order(entry, _LOOK, body, timeout)
+        answer = await self._order(entry, _POLL, body, timeout)
         if answer.status != _OK:
             return _decode_result(answer)
-        listing = _read(_decode_listing, answer.body)
+        listing = _decode_or_log(_decode_listing, answer.body)
         if listing is None:
             return OrderAnswer(OrderResult.INVALID)
         return Listing(
@@ -188,15 +188,15 @@
         timeout: Seconds,
     ) -> RawAnswer:
         call = RawCall('POST', path, _encode(body), timeout)
-        # Names no life, whatever the header's name says: the next life at the
-        # address may have the name too.
-        headers = {_LIFE_HEADER: str(entry.name)}
-        greeting = _make_greeting(entry, body, timeout)
-        return await self._caller.call(entry.address, call, headers, greeting)
+        # Despite its name, the header does not identify an incarnation: the
+        # next one at the address may have the same name.
+        headers = {_EXPECTED_NAME_HEADER: str(entry.name)}
+        probe = _make_probe(entry, body, timeout)
+        return await self._caller.call(entry.address, call, headers, probe)
 
 
 class PlatformAdvice:
-    """Fits `AdviceCalls`."""
+    """Implements `AdviceCalls`."""
 
     def __init__(
         self,
@@ -219,31 +219,36 @@
         answer = await self._caller.call(self._address(), call)
         if answer.status != _OK:
             return None
-        advice = _read(_decode_advice, answer.body)
+        advice = _decode_or_log(_decode_advice, answer.body)
         if advice is None:
             return None
         tickets = {WorkerName(row.name): row.ticket for row in advice.good}
         return TicketsByName(tickets, advice.valid_ms / _MILLIS)
 
 
-def _make_greeting(
+def _make_probe(
     entry: WorkerEntry,
     body: dict[str, object] | dict[str, int],
     timeout: Seconds,
 ) -> ConnectionProbe | None:
-    """Return a look that acknowledges nothing and renews no lease."""
+    """Return a poll that acknowledges no ending and renews no lease."""
     if entry.born is None:
         return None
-    look = {'fencingToken': body['fencingToken'], 'lastSeen': 0}
-    call = RawCall('POST', _LOOK, _encode(look), timeout)
-    return ConnectionProbe(entry.worker, call, partial(_refusal, entry.born))
+    poll = {'fencingToken': body['fencingToken'], 'lastSeen': 0}
+    call = RawCall('POST', _POLL, _encode(poll), timeout)
+    return ConnectionProbe(
+        entry.worker, call, partial(_check_probe, entry.born)
+    )
+
 
+def _check_probe(born: int, answer: RawAnswer) -> RawAnswer | None:
+    """Return the response of an order that follows this response to a probe.
 
-def _refusal(born: int, answer: RawAnswer) -> RawAnswer | None:
-    """Return what an order comes to that was preceded by this answer."""
+    None if the order may be sent.
+    """
     if answer.status != _OK:
         return answer
-    listing = _read(_decode_listing, answer.body)
+    listing = _decode_or_log(_decode_listing, answer.body)
     if listing is None:
         return RawAnswer(_BAD_REQUEST)
     if listing.born is None or listing.born == born:
@@ -251,8 +256,10 @@
     return RawAnswer(_MISDIRECTED, answer.body)
 
 
-def _read(decode: Callable[[bytes], _Body], raw: bytes) -> _Body | None:
-    """Decode an answer of any origin; None, and a line, if that fails."""
+def _decode_or_log(
+    decode: Callable[[bytes], _Body], raw: bytes
+) -> _Body | None:
+    """Decode an untrusted response; on failure, log it and return None."""
     try:
         return decode(raw)
     except DECODE_ERRORS as error:
@@ -266,12 +273,14 @@
 
 def _decode_result(answer: RawAnswer) -> OrderAnswer:
     if not answer.status:
-        lost = OrderResult.UNKNOWN if answer.reached else OrderResult.NOT_SENT
-        return OrderAnswer(lost)
+        failure = (
+            OrderResult.UNKNOWN if answer.reached else OrderResult.NOT_SENT
+        )
+        return OrderAnswer(failure)
     if answer.status == _OK:
         return OrderAnswer(OrderResult.TAKEN, _decode_clock(answer.body))
     if answer.status == _CONFLICT:
-        body = _read(_decode_order, answer.body)
+        body = _decode_or_log(_decode_order, answer.body)
         if body is None:
             return OrderAnswer(OrderResult.UNKNOWN)
         clock = None if body.clock_ms is None else body.clock_ms / _MILLIS
@@ -280,13 +289,13 @@
     result = _RESULT_BY_STATUS.get(answer.status, OrderResult.INVALID)
     if result is not OrderResult.OTHER_INCARNATION or not answer.body:
         return OrderAnswer(result)
-    other = _read(_decode_order, answer.body)
-    # Its clock is not that of the life that was asked.
+    other = _decode_or_log(_decode_order, answer.body)
+    # The clock is that of another incarnation, so it is left out.
     return OrderAnswer(result, born=other.born if other else None)
 
 
 def _decode_clock(body: bytes) -> Seconds | None:
-    order = _read(_decode_order, body) if body else None
+    order = _decode_or_log(_decode_order, body) if body else None
     if order is None or order.clock_ms is None:
         return None
     return order.clock_ms / _MILLIS
