--- a/orchidrail/cli/bundle_commands.py
+++ b/orchidrail/cli/bundle_commands.py
@@ -30,7 +30,7 @@
     sign_off_text,
 )
 from orchidrail.cli.context import Command, Context
-from orchidrail.cli.output import ExitCode, fail, say, show, show_json
+from orchidrail.cli.output import ExitCode, fail, print_line, show, show_json
 from orchidrail.settings import parse
 from orchidrail.types import BundleVersion, Seconds
 from orchidrail.wire.messages import QueryStatus, Status
@@ -39,11 +39,11 @@
     from orchidrail.settings import OperatorSettings
 
 _ROLL_OUT_TIMEOUT: Seconds = 30
-_ROLL_OUT_STEP: Seconds = 0.25
+_ROLL_OUT_POLL_INTERVAL: Seconds = 0.25
 
 
 class BundleCommands(Command):
-    """Change what the cell runs by, one signed version after another."""
+    """Draft, review, sign off and publish versions of the bundle."""
 
     def draft(self, file: str, note: str = '') -> None:
         """Propose the bundle in FILE (JSON with comments) as the next one.
@@ -60,7 +60,7 @@
         self._run('_review', str(draft))
 
     def sign_off(self, draft: str) -> None:
-        """Allow a reviewed draft to be published, with its whole outcome.
+        """Approve a reviewed draft and its outcome for publication.
 
         Example: orchidrail bundle sign-off 3f2a9c0d1b7e4a55
         """
@@ -90,7 +90,7 @@
         self._run('_diff', str(draft))
 
     def history(self) -> None:
-        """List publishes, those that lost with the reason.
+        """List publish attempts, with the reason where one was rejected.
 
         Example: orchidrail bundle history
         """
@@ -114,11 +114,11 @@
             signature=_sign(context.settings, draft_text(draft)),
         )
         await context.append(encode_record(signed))
-        say(draft_id(signed))
+        print_line(draft_id(signed))
 
     async def _review(self, context: Context, draft: str) -> None:
         fold = await context.read_bundle()
-        _find(fold, draft)
+        _find_open_draft(fold, draft)
         signature = _sign(context.settings, review_text(draft))
         review = Review(
             draft=draft,
@@ -126,11 +126,11 @@
             signature=signature,
         )
         await context.append(encode_record(review))
-        say(f'reviewed {draft}')
+        print_line(f'reviewed {draft}')
 
     async def _sign_off(self, context: Context, draft: str) -> None:
         fold = await context.read_bundle()
-        found = _find(fold, draft)
+        found = _find_open_draft(fold, draft)
         outcome = apply_patch(fold.document, found.patch)
         if not isinstance(outcome, Ok):
             fail(ExitCode.REFUSED, f'{draft}: {outcome.err_value}')
@@ -145,13 +145,13 @@
             signature=_sign(context.settings, text),
         )
         await context.append(encode_record(sign_off))
-        say(f'signed off {draft} as version {version}')
+        print_line(f'signed off {draft} as version {version}')
 
     async def _publish(self, context: Context, draft: str, wait: bool) -> None:
         fold = await context.read_bundle()
         if draft not in fold.draft_by_id:
-            _tell_lost(fold, draft, 'it is not, or no longer, open')
-        found = _find(fold, draft)
+            _fail_not_accepted(fold, draft, 'it is not an open draft')
+        found = _find_open_draft(fold, draft)
         review = fold.review_by_draft.get(draft)
         sign_off = fold.sign_off_by_draft.get(draft)
         if review is None or sign_off is None:
@@ -168,13 +168,13 @@
         if self._json:
             show_json({'version': fold.version, 'bundle': fold.bundle})
             return
-        say(f'version {fold.version}')
+        print_line(f'version {fold.version}')
         pretty = msgspec.json.format(fold.document, indent=2)
-        say(pretty)
+        print_line(pretty)
 
     async def _diff(self, context: Context, draft: str) -> None:
         fold = await context.read_bundle()
-        patch = msgspec.json.decode(_find(fold, draft).patch)
+        patch = msgspec.json.decode(_find_open_draft(fold, draft).patch)
         rows = [
             (
                 step['op'],
@@ -215,11 +215,14 @@
 
 def _sign(settings: OperatorSettings, text: str) -> str:
     if not settings.private_key:
-        fail(ExitCode.USAGE, 'the settings hold no privateKey to sign with')
+        fail(
+            ExitCode.USAGE,
+            'the settings lack privateKey, which is needed to sign',
+        )
     return sign(settings.private_key, text)
 
 
-def _find(fold: BundleFold, draft: str) -> Draft:
+def _find_open_draft(fold: BundleFold, draft: str) -> Draft:
     found = fold.draft_by_id.get(draft)
     if found is None:
         known = ', '.join(fold.draft_by_id) or 'none'
@@ -228,23 +231,27 @@
 
 
 def _report_outcome(fold: BundleFold, offset: int, draft: str) -> None:
-    mine = [entry for entry in fold.history if entry.offset == offset]
-    if mine and mine[0].won:
-        say(f'version {mine[0].version} is accepted')
+    own_entries = [entry for entry in fold.history if entry.offset == offset]
+    if own_entries and own_entries[0].won:
+        print_line(f'version {own_entries[0].version} is accepted')
         return
-    reason = mine[0].reason if mine else 'the record was not read back'
-    _tell_lost(fold, draft, reason)
+    reason = (
+        own_entries[0].reason
+        if own_entries
+        else 'its record was not found in the stream'
+    )
+    _fail_not_accepted(fold, draft, reason)
 
 
-def _tell_lost(fold: BundleFold, draft: str, reason: str) -> NoReturn:
-    """Say which draft won and what to do."""
+def _fail_not_accepted(fold: BundleFold, draft: str, reason: str) -> NoReturn:
+    """Report which draft is in force and how to proceed."""
     winner = next(
         (entry for entry in reversed(fold.history) if entry.won),
         None,
     )
     won = 'none' if winner is None else f'draft {winner.draft}'
     fail(
-        ExitCode.LOST,
+        ExitCode.CONFLICT,
         f'{draft} was not accepted: {reason}.\n'
         f'In force: version {fold.version}, {won}. Make a new draft on it: '
         'orchidrail bundle draft FILE',
@@ -252,25 +259,25 @@
 
 
 async def _follow_roll_out(context: Context, version: int) -> None:
-    """Show which daemons have a version until all have it."""
+    """Report the roll-out of a version until all schedulers run it."""
     clock = asyncio.get_running_loop().time
     end = clock() + _ROLL_OUT_TIMEOUT
-    told = ''
+    shown_line = ''
     while clock() < end:
         versions = await daemon_versions(context)
         done = sum(found >= version for found in versions.values())
         line = f'version {version}: {done} of {len(versions)} schedulers'
-        if line != told:
-            say(line)
-            told = line
+        if line != shown_line:
+            print_line(line)
+            shown_line = line
         if done == len(versions):
             return
-        await asyncio.sleep(_ROLL_OUT_STEP)
-    fail(ExitCode.UNREACHABLE, f'not everywhere yet: {versions!r}')
+        await asyncio.sleep(_ROLL_OUT_POLL_INTERVAL)
+    fail(ExitCode.UNREACHABLE, f'roll-out timed out: {versions!r}')
 
 
 async def daemon_versions(context: Context) -> dict[str, int]:
-    """Return the version in force at each scheduler; -1: not reached."""
+    """Return the version in force at each scheduler, -1 if unreachable."""
     versions = {}
     for zone, addresses in context.settings.schedulers.items():
         for address in addresses:
--- a/orchidrail/cli/context.py
+++ b/orchidrail/cli/context.py
@@ -1,4 +1,4 @@
-"""What every command needs: settings, the platform, the daemons."""
+"""Shared context of the commands: settings, platform and daemons."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
     from orchidrail.types import Address
     from orchidrail.wire.messages import Message
 
-_TIMEOUT: Seconds = 2
-_NO_POLL: Seconds = 1
+_CALL_TIMEOUT: Seconds = 2
+_UNUSED_POLL_INTERVAL: Seconds = 1
 BUNDLE_STREAM = 'bundle'
 _log = structlog.get_logger()
 
 
 class Context:
-    """One run of the command."""
+    """Settings and clients that one invocation of the command uses."""
 
     def __init__(
         self, settings: OperatorSettings, stack: AsyncExitStack
@@ -44,20 +44,20 @@
         stack.push_async_callback(self.transport.close)
 
     async def read_bundle(self) -> BundleFold:
-        """Fold the bundle's stream up to its end."""
+        """Read the bundle stream to its end and return its folded state."""
         genesis = Bundle(operators=self.settings.operators)
         fold = BundleFold(genesis)
         follower = Follower(
             self.platform,
             BUNDLE_STREAM,
             fold,
-            _NO_POLL,
+            _UNUSED_POLL_INTERVAL,
             random.Random(),
         )
         while await follower.poll():
-            _log.debug('reading on')
+            _log.debug('reading the next page of the bundle stream')
         if not follower.connected:
-            fail(ExitCode.UNREACHABLE, 'the platform can not be reached')
+            fail(ExitCode.UNREACHABLE, 'the platform is unreachable')
         return fold
 
     async def append(self, record: str) -> Offset:
@@ -67,18 +67,19 @@
             return outcome.ok_value
         fail(
             ExitCode.UNREACHABLE,
-            f'the platform has not confirmed ({outcome.err_value.value}); '
-            'look with "orchidrail bundle show" before you try again',
+            f'the platform did not confirm the append '
+            f'({outcome.err_value.value}); '
+            'check "orchidrail bundle show" before you retry',
         )
 
     async def ask(self, address: Address, message: Message) -> Message | None:
-        """Ask a daemon; return None if it can't be reached."""
-        answer = await self.transport.call(address, message, _TIMEOUT)
+        """Send a request to a daemon; return None if it is unreachable."""
+        answer = await self.transport.call(address, message, _CALL_TIMEOUT)
         return answer.ok()
 
 
 def load_settings(path: str) -> OperatorSettings:
-    """Load the operator's settings or end with what is wrong."""
+    """Load the operator's settings; exit with an error if invalid."""
     configure_logs('error', daemon='orchidrail')
     try:
         return load(path, OperatorSettings)
@@ -87,26 +88,28 @@
 
 
 class Command:
-    """Base of the command groups.
+    """Base class of the command groups.
 
     Parameters
     ----------
     settings : str
         Path of the operator's settings file.
     json : bool
-        Print JSON for programs.
+        Print JSON instead of tables.
     """
 
     def __init__(self, settings: str, json: bool) -> None:
-        """Keep the options common to all commands."""
+        """Store the options common to all commands."""
         self._path = settings
         self._json = json
 
     def _run(self, name: str, *words: object) -> None:
-        """Run the coroutine method `name` within a context."""
-        asyncio.run(self._within(name, words))
+        """Run the coroutine method `name` with an open `Context`."""
+        asyncio.run(self._run_in_context(name, words))
 
-    async def _within(self, name: str, words: tuple[object, ...]) -> None:
+    async def _run_in_context(
+        self, name: str, words: tuple[object, ...]
+    ) -> None:
         async with AsyncExitStack() as stack:
             context = Context(load_settings(self._path), stack)
             await getattr(self, name)(context, *words)
--- a/orchidrail/cli/explain.py
+++ b/orchidrail/cli/explain.py
@@ -1,4 +1,4 @@
-"""What the logs say of one job, and of what went on around it."""
+"""Selects the log lines about a job and about events that affected it."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 import msgspec
 
-#: Fields in which a line may name a job or one of its tasks or steps.
-_NAMING_FIELDS = ('job', 'task', 'step', 'jobs', 'tasks')
-#: Lines that may explain what happened to any job at that time.
-_SURROUNDING = frozenset(
+#: Fields of a log line that may refer to a job, its steps or its tasks.
+_JOB_REFERENCE_FIELDS = ('job', 'task', 'step', 'jobs', 'tasks')
+#: Events that may affect any job that is open at the time.
+_CONTEXT_EVENTS = frozenset(
     (
         'calls turned away',
         'configuration in force',
@@ -39,8 +39,8 @@
         'worker stands still',
     )
 )
-#: Lines after which a job does not go on.
-_ENDING = frozenset(
+#: Events that end a job.
+_END_EVENTS = frozenset(
     (
         'job cancelled',
         'job not accepted',
@@ -53,7 +53,7 @@
 
 
 class LogLine(NamedTuple):
-    """One line of a log."""
+    """A parsed log line."""
 
     timestamp: str
     daemon: str
@@ -61,14 +61,14 @@
     fields: dict[str, Any]
 
     def names(self, job_id: str) -> bool:
-        """Whether the line is about the job, a step or a task of it."""
+        """Whether the line refers to the job or to a step or task of it."""
         return any(
             job_id in str(self.fields.get(field, ''))
-            for field in _NAMING_FIELDS
+            for field in _JOB_REFERENCE_FIELDS
         )
 
-    def show(self) -> str:
-        """Return the line for people to read."""
+    def to_text(self) -> str:
+        """Return the line in a form for people to read."""
         shown = ' '.join(
             f'{name}={found}'
             for name, found in self.fields.items()
@@ -78,17 +78,17 @@
 
 
 def explain(job_id: str, lines: Iterable[str]) -> list[LogLine]:
-    """Return the lines on a job, and those that surround it, in order.
+    """Return the lines about a job and its surroundings, by time.
 
-    A job that has not ended is surrounded by all that came after its first
-    line: what keeps its tasks from running may not name it.
+    For a job that has not ended, the surroundings extend to the last line of
+    the logs: the events that prevent its tasks from running may not name it.
 
     Parameters
     ----------
     job_id : str
     lines : iterable of str
-        Lines of all processes, in any order; text before the JSON object and
-        lines without one are passed over.
+        Lines of all processes, in any order. Text before the JSON object and
+        lines without one are ignored.
 
     Examples
     --------
@@ -111,24 +111,25 @@
         for line in parsed
         if line.names(job_id)
         or (
-            line.event in _SURROUNDING and first_at <= line.timestamp <= last_at
+            line.event in _CONTEXT_EVENTS
+            and first_at <= line.timestamp <= last_at
         )
     ]
 
 
 def is_over(lines: Iterable[LogLine]) -> bool:
-    """Whether one of the lines on a job tells of its end.
+    """Whether one of the lines about a job reports its end.
 
     Parameters
     ----------
     lines : iterable of LogLine
-        What names the job, or what `explain` found for it.
+        Lines that name the job, or the result of `explain`.
     """
-    return any(line.event in _ENDING for line in lines)
+    return any(line.event in _END_EVENTS for line in lines)
 
 
 def read_lines(paths: Iterable[str]) -> Iterator[str]:
-    """Yield the lines of some files.
+    """Yield the lines of the given files.
 
     Raises
     ------
--- a/orchidrail/cli/job_commands.py
+++ b/orchidrail/cli/job_commands.py
@@ -1,4 +1,4 @@
-"""``orchidrail job``: jobs as a tenant's caller."""
+"""``orchidrail job``: submit and follow jobs with the key of a tenant."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 import msgspec
 
 from orchidrail.cli.context import Command, Context
-from orchidrail.cli.output import ExitCode, fail, say, show, show_json
+from orchidrail.cli.output import ExitCode, fail, print_line, show, show_json
 from orchidrail.gateway.bodies import JobReply, KeyReply
 
 if TYPE_CHECKING:
     from orchidrail.settings import OperatorSettings
 
-_FINAL = frozenset(('done', 'failed', 'cancelled'))
-_FOLLOW_WAIT = 10
-_ERRORS_FROM = 400
-_TIMEOUT = 40
+_FINAL_STATES = frozenset(('done', 'failed', 'cancelled'))
+_FOLLOW_WAIT_SECONDS = 10
+_FIRST_ERROR_STATUS = 400
+_REQUEST_TIMEOUT = 40
 
 
 class JobCommands(Command):
-    """Submit, look at, follow and cancel jobs."""
+    """Submit, show, follow and cancel jobs."""
 
     def submit(
         self,
@@ -32,7 +32,7 @@
         cores: float = 0,
         memory: float = 0,
     ) -> None:
-        """Submit a job of a class; prints its id.
+        """Submit a job of a class and print its id.
 
         Example: orchidrail job submit stack --payload '{"plate": 7}'
         """
@@ -46,7 +46,7 @@
         self._run('_show', job)
 
     def follow(self, job: str) -> None:
-        """Follow a job to its end; ends with 1 unless it is done.
+        """Follow a job to its end; exit with 1 unless it is done.
 
         Example: orchidrail job follow 0192f1c0-0000-7000-8000-000000000000
         """
@@ -70,7 +70,7 @@
     ) -> None:
         async with _client(context.settings) as client:
             answer = await client.post('/v1/keys', json={'class': work_class})
-            key = msgspec.json.decode(_checked(answer), type=KeyReply).key
+            key = msgspec.json.decode(_checked_body(answer), type=KeyReply).key
             body: dict[str, object] = {
                 'class': work_class,
                 'key': key,
@@ -80,19 +80,19 @@
             if cores or memory:
                 body['size'] = {'cores': cores, 'memory': memory}
             answer = await client.post('/v1/jobs', json=body)
-        self._print(_job_of(answer))
+        self._print(_parse_job(answer))
 
     async def _show(self, context: Context, job: str) -> None:
         async with _client(context.settings) as client:
-            self._print(_job_of(await client.get(f'/v1/jobs/{job}')))
+            self._print(_parse_job(await client.get(f'/v1/jobs/{job}')))
 
     async def _follow(self, context: Context, job: str) -> None:
         state = ''
         async with _client(context.settings) as client:
-            while state not in _FINAL:
-                query = f'wait={_FOLLOW_WAIT}&state={state}'
+            while state not in _FINAL_STATES:
+                query = f'wait={_FOLLOW_WAIT_SECONDS}&state={state}'
                 answer = await client.get(f'/v1/jobs/{job}?{query}')
-                found = _job_of(answer)
+                found = _parse_job(answer)
                 if found.state != state:
                     self._print(found)
                     state = found.state
@@ -102,8 +102,8 @@
 
     async def _cancel(self, context: Context, job: str) -> None:
         async with _client(context.settings) as client:
-            _checked(await client.delete(f'/v1/jobs/{job}'))
-        say(f'cancelling {job}')
+            _checked_body(await client.delete(f'/v1/jobs/{job}'))
+        print_line(f'cancelling {job}')
 
     def _print(self, job: JobReply) -> None:
         if self._json:
@@ -117,20 +117,23 @@
 
 def _client(settings: OperatorSettings) -> httpx.AsyncClient:
     if not settings.gateway or not settings.tenant_key:
-        fail(ExitCode.USAGE, 'the settings lack gateway or tenantKey')
+        fail(
+            ExitCode.USAGE,
+            'the settings lack gateway or tenantKey, expected both',
+        )
     return httpx.AsyncClient(
         base_url=settings.gateway,
         headers={'Authorization': f'Bearer {settings.tenant_key}'},
-        timeout=_TIMEOUT,
+        timeout=_REQUEST_TIMEOUT,
         trust_env=False,
     )
 
 
-def _checked(answer: httpx.Response) -> bytes:
-    if answer.status_code >= _ERRORS_FROM:
+def _checked_body(answer: httpx.Response) -> bytes:
+    if answer.status_code >= _FIRST_ERROR_STATUS:
         fail(ExitCode.REFUSED, answer.text or str(answer.status_code))
     return answer.content
 
 
-def _job_of(answer: httpx.Response) -> JobReply:
-    return msgspec.json.decode(_checked(answer), type=JobReply)
+def _parse_job(answer: httpx.Response) -> JobReply:
+    return msgspec.json.decode(_checked_body(answer), type=JobReply)
--- a/orchidrail/cli/main.py
+++ b/orchidrail/cli/main.py
@@ -1,7 +1,7 @@
 """Entry point of the ``orchidrail`` command.
 
-Exit codes: 0 done; 1 refused or a check failed; 2 the command line or a file
-is wrong; 3 another publisher was first; 4 something can't be reached.
+Exit codes: 0 success; 1 request rejected or check failed; 2 invalid command
+line or file; 3 another draft was published first; 4 service unreachable.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from orchidrail.cli.context import Command, Context
 from orchidrail.cli.explain import explain, read_lines
 from orchidrail.cli.job_commands import JobCommands
-from orchidrail.cli.output import ExitCode, fail, say, show, show_json
+from orchidrail.cli.output import ExitCode, fail, print_line, show, show_json
 from orchidrail.cli.wait_summary import summarize_waits
 from orchidrail.scheduler.gossiper import DaemonStatus
 from orchidrail.settings import (
@@ -35,7 +35,7 @@
 
 _JSON_FLAG = '--json'
 _SETTINGS_VARIABLE = 'ORCHIDRAIL_SETTINGS'
-_KINDS: dict[str, type[msgspec.Struct]] = {
+_FILE_TYPE_BY_KIND: dict[str, type[msgspec.Struct]] = {
     'scheduler': SchedulerSettings,
     'gateway': GatewaySettings,
     'operator': OperatorSettings,
@@ -44,7 +44,7 @@
 
 
 class InstanceCommands(Command):
-    """Look at and empty upstream instances."""
+    """List and drain upstream instances."""
 
     def list(self) -> None:
         """List the workers of all zones with their holders.
@@ -54,9 +54,10 @@
         self._run('_list')
 
     def drain(self, worker: str) -> None:
-        """Give a worker no new work from now on, until it is replaced.
+        """Drain a worker: it gets no new work until it is replaced.
 
-        To keep it so for good, name it in the bundle's zone, in `draining`.
+        To drain it permanently, list it in `draining` of its zone in the
+        bundle.
 
         Example: orchidrail instance drain w-17
         """
@@ -88,58 +89,67 @@
         show('workers', columns, rows, json=self._json)
 
     async def _drain(self, context: Context, worker: str) -> None:
-        told = 0
+        acknowledged = 0
         message = DrainWorker(worker=WorkerId(worker))
         for addresses in context.settings.schedulers.values():
             for address in addresses:
                 answer = await context.ask(address, message)
-                told += isinstance(answer, Ack)
-        if not told:
-            fail(ExitCode.UNREACHABLE, 'no scheduler can be reached')
-        say(f'{worker} gets no new work ({told} schedulers told)')
+                acknowledged += isinstance(answer, Ack)
+        if not acknowledged:
+            fail(ExitCode.UNREACHABLE, 'no scheduler is reachable')
+        print_line(
+            f'{worker} gets no new work ({acknowledged} schedulers told)'
+        )
 
 
 class SettingsCommands:
-    """Check files before they are used."""
+    """Validate settings files and bundles."""
 
     def check(self, file: str, kind: str = '') -> None:
-        """Check a settings file or bundle and tell every error at once.
+        """Validate a settings file or bundle and report all errors.
 
-        KIND is scheduler, gateway, operator or bundle; it is guessed from
-        the file's name if left out.
+        KIND is scheduler, gateway, operator or bundle; by default it is
+        inferred from the file's name.
 
         Example: orchidrail settings check gateway-1.json
         """
-        guessed = kind or next(
-            (name for name in _KINDS if name in os.path.basename(file)),
+        inferred = kind or next(
+            (
+                name
+                for name in _FILE_TYPE_BY_KIND
+                if name in os.path.basename(file)
+            ),
             '',
         )
-        if guessed not in _KINDS:
-            expected = ', '.join(_KINDS)
-            fail(ExitCode.USAGE, f'got kind {guessed!r}, expected {expected}')
+        if inferred not in _FILE_TYPE_BY_KIND:
+            expected = ', '.join(_FILE_TYPE_BY_KIND)
+            fail(ExitCode.USAGE, f'got kind {inferred!r}, expected {expected}')
         try:
-            load(file, _KINDS[guessed])
+            load(file, _FILE_TYPE_BY_KIND[inferred])
         except SettingsError as error:
             fail(ExitCode.REFUSED, str(error))
-        say(f'{file}: a correct {guessed} file')
+        print_line(f'{file}: a correct {inferred} file')
 
 
 class KeyCommands:
-    """Make keys."""
+    """Generate keys."""
 
     def make(self, kind: str = 'operator') -> None:
-        """Make a key: for an operator (ed25519), or a tenant (bearer).
+        """Generate a key for an operator (ed25519) or a tenant (bearer).
 
         Example: orchidrail key make tenant
         """
         makers = {'operator': _make_operator_key, 'tenant': _make_tenant_key}
         if kind not in makers:
-            fail(ExitCode.USAGE, f'got {kind!r}, expected {sorted(makers)!r}')
+            fail(
+                ExitCode.USAGE,
+                f'got kind {kind!r}, expected {sorted(makers)!r}',
+            )
         show_json(makers[kind]())
 
 
 class StatusCommand(Command):
-    """The state of all daemons."""
+    """Report the state of all daemons."""
 
     def status(self) -> None:
         """Show workers, queues and versions in force, by daemon.
@@ -181,9 +191,9 @@
     Parameters
     ----------
     settings : str
-        Path of your operator settings; else $ORCHIDRAIL_SETTINGS.
+        Path of your operator settings; default: $ORCHIDRAIL_SETTINGS.
     json : bool
-        Print JSON for programs instead of tables.
+        Print JSON instead of tables.
     """
 
     def __init__(self, settings: str = '', json: bool = False) -> None:
@@ -198,7 +208,7 @@
 
     @decorators.SetParseFns(job=str)
     def explain(self, job: str, *logs: str) -> None:
-        """Tell what log files say of a job, and of what went on meanwhile.
+        """Show log lines about a job and about events that affected it.
 
         Example: orchidrail explain 5c0e7a21d94b36f8 entry-1.log entry-2.log
         """
@@ -207,15 +217,15 @@
         except OSError as error:
             fail(ExitCode.USAGE, str(error))
         if not found:
-            fail(ExitCode.REFUSED, f'no line names {job!r}')
+            fail(ExitCode.REFUSED, f'no log line names job {job!r}')
         for line in found:
-            say(line.show())
+            print_line(line.to_text())
         for sentence in summarize_waits(found):
-            say(sentence)
+            print_line(sentence)
 
 
 async def read_statuses(context: Context) -> list[DaemonStatus]:
-    """Ask all schedulers of the settings for their status."""
+    """Return the status of all reachable schedulers of the settings."""
     statuses = []
     for addresses in context.settings.schedulers.values():
         for address in addresses:
@@ -239,7 +249,7 @@
 
 
 def main() -> None:
-    """Read the command line; ``--json`` may stand anywhere in it."""
+    """Run the command line; ``--json`` may be given at any position."""
     words = [word for word in sys.argv[1:] if word != _JSON_FLAG]
     if len(words) < len(sys.argv) - 1:
         words = [f'{_JSON_FLAG}=True', *words]
--- a/orchidrail/cli/output.py
+++ b/orchidrail/cli/output.py
@@ -1,4 +1,4 @@
-"""What the command prints, and how it ends."""
+"""Output and exit codes of the command."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class ExitCode(IntEnum):
-    """How the command ends."""
+    """Exit codes of the command."""
 
     OK = 0
-    #: A check failed, or the request was refused.
+    #: A check failed, or the request was rejected.
     REFUSED = 1
-    #: The command line or a file is wrong.
+    #: The command line or a file is invalid.
     USAGE = 2
-    #: Another publisher was first.
-    LOST = 3
-    #: The platform or a daemon can't be reached.
+    #: Another draft was published first.
+    CONFLICT = 3
+    #: The platform or a daemon is unreachable.
     UNREACHABLE = 4
 
 
@@ -30,7 +30,7 @@
 
 
 def show(title: str, columns: Row, rows: Sequence[Row], *, json: bool) -> None:
-    """Print a table for people, or JSON for programs."""
+    """Print rows as a table, or as JSON objects keyed by column."""
     if json:
         records = [dict(zip(columns, row, strict=True)) for row in rows]
         show_json(records)
@@ -44,17 +44,23 @@
 
 
 def show_json(document: object) -> None:
-    """Print JSON on one line."""
+    """Print a document as one line of JSON."""
     sys.stdout.write(msgspec.json.encode(document).decode())
     sys.stdout.write('\n')
 
 
-def say(text: str) -> None:
-    """Print one line for people."""
+def print_line(text: str) -> None:
+    """Print text without markup or highlighting."""
     Console().print(text, highlight=False, markup=False)
 
 
 def fail(code: ExitCode, text: str) -> NoReturn:
-    """Say what is wrong and end the command."""
+    """Print an error to stderr and exit.
+
+    Raises
+    ------
+    SystemExit
+        Always, with `code`.
+    """
     Console(stderr=True).print(text, highlight=False, markup=False)
     raise SystemExit(int(code))
--- a/orchidrail/cli/tests/test_explain.py
+++ b/orchidrail/cli/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""Tests of the way from a job's id to its cause."""
+"""Tests of the log lines selected for a job."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     def events(self, *lines: str) -> list[str]:
         return [line.event for line in explain(_JOB, lines)]
 
-    def test_finds_the_job_by_task_and_step_too(self) -> None:
+    def test_finds_lines_by_task_and_step_id(self) -> None:
         found = self.events(
             _line(3, 'run ended', task=f'{_JOB}.0.0.1'),
             _line(1, 'job accepted', job=_JOB),
@@ -28,7 +28,7 @@
         )
         self.assertEqual(['job accepted', 'placed', 'run ended'], found)
 
-    def test_shows_what_went_on_meanwhile(self) -> None:
+    def test_includes_surrounding_events_until_the_job_ends(self) -> None:
         found = self.events(
             _line(1, 'store lost'),
             _line(2, 'job accepted', job=_JOB),
@@ -38,7 +38,7 @@
         )
         self.assertEqual(['job accepted', 'worker lost', 'job over'], found)
 
-    def test_shows_what_the_tasks_of_a_job_wait_for(self) -> None:
+    def test_includes_the_wait_reasons_of_the_job(self) -> None:
         line = _line(
             2,
             'tasks wait',
@@ -52,12 +52,12 @@
         found = explain(_JOB, (_line(1, 'job accepted', job=_JOB), line, other))
         self.assertEqual(
             ['job accepted', 'tasks wait'],
-            [shown.event for shown in found],
+            [selected.event for selected in found],
         )
-        for told in ('seconds=6.7', 'reason=room', "'failed': 3"):
-            self.assertIn(told, found[-1].show())
+        for part in ('seconds=6.7', 'reason=room', "'failed': 3"):
+            self.assertIn(part, found[-1].to_text())
 
-    def test_a_job_without_an_end_is_surrounded_by_all_that_came_later(
+    def test_open_job_includes_surrounding_events_to_the_end_of_the_logs(
         self,
     ) -> None:
         found = self.events(
@@ -69,7 +69,7 @@
         )
         self.assertEqual(['job accepted', 'tasks wait', 'worker rests'], found)
 
-    def test_a_cancelled_job_has_ended(self) -> None:
+    def test_cancellation_ends_the_job(self) -> None:
         found = self.events(
             _line(2, 'tasks wait', job=_JOB),
             _line(3, 'job cancelled', job=_JOB),
@@ -77,7 +77,7 @@
         )
         self.assertEqual(['tasks wait', 'job cancelled'], found)
 
-    def test_what_keeps_workers_and_lanes_is_shown_for_any_job(self) -> None:
+    def test_worker_and_lane_failures_are_included_for_any_job(self) -> None:
         found = self.events(
             _line(1, 'job accepted', job=_JOB),
             _line(2, 'no advice', lane='lane-1', step=f'{"f" * 16}.0.0'),
@@ -95,5 +95,5 @@
         ]
         self.assertEqual(expected, found)
 
-    def test_passes_over_what_is_no_log_line(self) -> None:
+    def test_ignores_lines_that_are_not_log_lines(self) -> None:
         self.assertEqual([], self.events('', 'text', '{broken', '12 {"a": 1}'))
--- a/orchidrail/cli/tests/test_wait_summary.py
+++ b/orchidrail/cli/tests/test_wait_summary.py
@@ -1,4 +1,4 @@
-"""Tests of what is said of the waits of a job that is not over."""
+"""Tests of the summary of what an open job waits for."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 
 def _wait(at: int, seconds: float, **fields: object) -> str:
     step = f'{_JOB}.0.0'
-    told = {'step': step, 'tasks': 2, 'seconds': seconds, 'workers': {}}
-    return _line(at, 'tasks wait', **told | fields)
+    details = {'step': step, 'tasks': 2, 'seconds': seconds, 'workers': {}}
+    return _line(at, 'tasks wait', **details | fields)
 
 
 class WaitSummaryTest(TestCase):
     def summary(self, *lines: str) -> str:
         return '\n'.join(summarize_waits(explain(_JOB, lines)))
 
-    def test_the_longest_and_the_last_wait_are_told(self) -> None:
+    def test_describes_the_longest_and_the_last_wait(self) -> None:
         found = self.summary(
             _line(1, 'job accepted'),
             _wait(4, 9.5, workers={'room': 8}),
@@ -40,8 +40,8 @@
         self.assertIn('7 not permitted, 1 without a valid ticket', found)
         self.assertNotIn('full', found)
 
-    def test_the_causes_are_told_apart(self) -> None:
-        for field, told in (
+    def test_describes_each_optional_field(self) -> None:
+        for field, text in (
             ({'idle': {'w-1': 'failed'}}, 'Room on w-1: avoided'),
             ({'idle': {'w-1': 'held'}}, 'Room on w-1: full by what is held'),
             ({'idle': {'w-1': 'kept'}}, 'Room on w-1: kept for other work'),
@@ -50,34 +50,34 @@
             ({'unheard': 4.5}, 'not heard for 4.5 s'),
             ({'starts': 'gang'}, 'that start together'),
         ):
-            self.assertNotIn(told, self.summary(_wait(1, 3)))
-            self.assertIn(told, self.summary(_wait(1, 3, **field)))
+            self.assertNotIn(text, self.summary(_wait(1, 3)))
+            self.assertIn(text, self.summary(_wait(1, 3, **field)))
 
-    def test_each_obstacle_has_words(self) -> None:
-        for obstacle in IneligibleReason:
-            name = obstacle.value
+    def test_each_ineligibility_reason_has_a_text(self) -> None:
+        for reason in IneligibleReason:
+            name = reason.value
             found = self.summary(_wait(1, 3, workers={name: 7}))
             self.assertNotIn(f'Workers: 7 {name}.', found)
             self.assertIn('Workers: 7 ', found)
 
-    def test_what_another_version_tells_is_shown_as_it_is(self) -> None:
+    def test_unknown_reasons_and_states_are_shown_unchanged(self) -> None:
         found = self.summary(
             _wait(
                 1,
                 3,
-                workers={'moonlight': 7},
+                workers={'unknownReason': 7},
                 question=3,
-                question_state='elsewhere',
+                question_state='unknownState',
             ),
         )
-        self.assertIn('7 moonlight', found)
-        self.assertIn('waited elsewhere', found)
+        self.assertIn('7 unknownReason', found)
+        self.assertIn('waited unknownState', found)
 
-    def test_a_line_of_an_older_owner_has_fewer_fields(self) -> None:
+    def test_accepts_lines_without_the_optional_fields(self) -> None:
         self.assertIn('at 1', self.summary(_wait(1, 3)))
 
-    def test_nothing_is_said_of_a_job_that_is_over(self) -> None:
+    def test_no_summary_for_a_job_that_has_ended(self) -> None:
         self.assertEqual('', self.summary(_wait(1, 3), _line(2, 'job over')))
 
-    def test_nothing_is_said_of_a_job_that_did_not_wait(self) -> None:
+    def test_no_summary_for_a_job_without_waits(self) -> None:
         self.assertEqual('', self.summary(_line(1, 'job accepted')))
--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -1,4 +1,4 @@
-"""What the tasks of a job that is not over wait for, in words."""
+"""Describes what the tasks of an open job wait for."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from orchidrail.shard.eligibility import IneligibleReason
 from orchidrail.shard.pending_advice import AdviceRequestState
 
-_WAITING = 'tasks wait'
-_WORDS_BY_OBSTACLE = {
+_WAIT_EVENT = 'tasks wait'
+_TEXT_BY_REASON = {
     IneligibleReason.UNSUITED.value: 'of another kind or too small',
     IneligibleReason.RESTS.value: 'resting after failures',
     IneligibleReason.TRIAL.value: 'trying a task that may crash it',
@@ -32,26 +32,27 @@
     IneligibleReason.TICKET.value: 'without a valid ticket',
     IneligibleReason.NONE.value: 'with nothing that keeps them from it',
 }
-_WORDS_BY_STATE = {
+_TEXT_BY_REQUEST_STATE = {
     AdviceRequestState.QUEUED.value: 'for a lane',
     AdviceRequestState.IN_FLIGHT.value: 'for its answer',
 }
 
 
 def summarize_waits(lines: Iterable[LogLine]) -> list[str]:
-    """Return sentences on what the tasks of a job wait for.
+    """Describe what the tasks of a job wait for, a sentence per item.
 
     Parameters
     ----------
     lines : iterable of LogLine
-        What `explain` found, in order.
+        The result of `explain`.
 
     Returns
     -------
-    Nothing for a job that is over, or none of whose tasks waited for long.
+    list of str
+        Empty for a job that has ended, or none of whose waits were logged.
     """
     found = list(lines)
-    waits = [line for line in found if line.event == _WAITING]
+    waits = [line for line in found if line.event == _WAIT_EVENT]
     if not waits or is_over(found):
         return []
     longest = max(waits, key=lambda line: float(line.fields['seconds']))
@@ -59,11 +60,11 @@
         'The job is not over. The longest wait of its tasks that was told: '
         f'{longest.fields["seconds"]} s, step {longest.fields["step"]}, '
         f'at {longest.timestamp}.',
-        *_last_wait(waits[-1]),
+        *_describe_wait(waits[-1]),
     ]
 
 
-def _last_wait(line: LogLine) -> Iterator[str]:
+def _describe_wait(line: LogLine) -> Iterator[str]:
     fields = line.fields
     together = ' that start together' if fields.get('starts') == 'gang' else ''
     yield (
@@ -71,29 +72,33 @@
         f'task(s){together} of step {fields["step"]}.'
     )
     counts = ', '.join(
-        f'{count} {_words(obstacle)}'
+        f'{count} {_describe_reason(obstacle)}'
         for obstacle, count in fields.get('workers', {}).items()
     )
     yield f'Workers: {counts}.'
     for worker, obstacle in fields.get('idle', {}).items():
-        yield f'Room on {worker}: {_words(obstacle)}.'
-    yield from _question(fields)
+        yield f'Room on {worker}: {_describe_reason(obstacle)}.'
+    yield from _describe_advice_request(fields)
     unheard = fields.get('unheard')
     if unheard is not None:
         yield f'A worker with tasks of the step was not heard for {unheard} s.'
 
 
-def _question(fields: dict[str, Any]) -> Iterator[str]:
+def _describe_advice_request(fields: dict[str, Any]) -> Iterator[str]:
     seconds = fields.get('question')
     if seconds is not None:
         state = fields.get('question_state', '')
         yield (
             f'Its question for advice began {seconds} s before and has waited '
-            f'{_WORDS_BY_STATE.get(state, state)} for '
+            f'{_TEXT_BY_REQUEST_STATE.get(state, state)} for '
             f'{fields.get("question_in_state", seconds)} s.'
         )
 
 
-def _words(obstacle: str) -> str:
-    """Return what an obstacle means; another version may know others."""
-    return _WORDS_BY_OBSTACLE.get(obstacle, obstacle)
+def _describe_reason(obstacle: str) -> str:
+    """Describe an ineligibility reason.
+
+    A reason that this version doesn't know, logged by another version, is
+    returned as it is.
+    """
+    return _TEXT_BY_REASON.get(obstacle, obstacle)
