--- a/orchidrail/workers/run_lease.py
+++ b/orchidrail/workers/run_lease.py
@@ -44,7 +44,7 @@
         self._prior_leases_end = prior_leases_end
         self._clock: Seconds | None = None
         self._observed_at: Seconds = 0
-        self._latest: Seconds = -_NEVER
+        self._deadline: Seconds = -_NEVER
 
     @property
     def clock_known(self) -> bool:
@@ -64,8 +64,8 @@
         """Return the estimate of the worker's clock at `now`."""
         if self._clock is None:
             return -_NEVER
-        passed = now - self._observed_at
-        return self._clock + passed
+        since_observed = now - self._observed_at
+        return self._clock + since_observed
 
     def renew(self, now: Seconds) -> Seconds:
         """Return the deadline to request, on the worker's clock."""
@@ -73,7 +73,7 @@
 
     def extend_to(self, deadline: Seconds) -> Seconds:
         """Extend the lease to the deadline of an order about to be sent."""
-        self._latest = max(self._latest, deadline)
+        self._deadline = max(self._deadline, deadline)
         return deadline
 
     def adopt(self, now: Seconds) -> None:
@@ -88,5 +88,5 @@
         """
         if self._clock is None:
             return now > self._prior_leases_end
-        passed = (now - self._observed_at) * (1 - MAX_CLOCK_SLOWDOWN)
-        return self._clock + passed > self._latest
+        since_observed = (now - self._observed_at) * (1 - MAX_CLOCK_SLOWDOWN)
+        return self._clock + since_observed > self._deadline
--- a/orchidrail/workers/session.py
+++ b/orchidrail/workers/session.py
@@ -43,7 +43,7 @@
 #: Consecutive polls that must fail before a worker is unreachable.
 _FAILED_POLLS_UNTIL_LOST = 2
 #: Pause after a failed poll.
-_FAILED_PAUSE: Seconds = 0.2
+_RETRY_PAUSE: Seconds = 0.2
 #: Maximum wait for the journal before the lease is renewed again.
 _JOURNAL_WAIT: Seconds = 0.5
 #: Time on the worker's clock in which a start order must arrive. The worker
@@ -78,7 +78,7 @@
         """Handle that the worker has seen a newer owner."""
 
 
-async def _always(token: Epoch) -> bool:
+async def _allow_any_token(token: Epoch) -> bool:
     """Allow any fencing token."""
     return True
 
@@ -111,7 +111,7 @@
         observer: Observer,
         clock: Callable[[], Seconds],
         may_renew: Callable[[], bool],
-        may_use_fence: Callable[[Epoch], Awaitable[bool]] = _always,
+        may_use_fence: Callable[[Epoch], Awaitable[bool]] = _allow_any_token,
     ) -> None:
         """Start without a response from the worker."""
         self.entry = entry
@@ -181,9 +181,9 @@
         answer = self._reclassify_own_fence(answer, order.epoch)
         if answer.result is OrderResult.UNKNOWN:
             # A poll after the deadline shows whether the run exists.
-            left = deadline - self.lease.clock_at(self._clock())
+            remaining = deadline - self.lease.clock_at(self._clock())
             loop = asyncio.get_running_loop()
-            loop.call_later(left + _CLOCK_SLACK, self.poll_soon)
+            loop.call_later(remaining + _CLOCK_SLACK, self.poll_soon)
         return answer, deadline
 
     async def stop(self, key: RunKey) -> OrderAnswer:
@@ -266,8 +266,8 @@
             self._observer.on_fenced(self)
 
     async def _poll(self) -> None:
-        behind = self._last_received > self._last_seen
-        uncertain = behind or self._failures or not self.reachable
+        has_unacknowledged = self._last_received > self._last_seen
+        uncertain = has_unacknowledged or self._failures or not self.reachable
         await self._poll_once(0 if uncertain else _POLL_WAIT)
 
     async def _poll_once(self, wait: Seconds) -> None:
@@ -296,10 +296,10 @@
         if not self.matches_incarnation(listing.born):
             self._handle_other_incarnation(listing.born, listing.clock)
             return
-        first = not self.lease.clock_known
+        first_response = not self.lease.clock_known
         self.last_response_at = self._clock()
         self.lease.observe(listing.clock, self.last_response_at)
-        if first:
+        if first_response:
             self.lease.adopt(self._clock())
         if not self.reachable:
             _log.info(
@@ -354,7 +354,7 @@
             )
             self.lost_at = self._clock()
         self.reachable = False
-        await asyncio.sleep(_FAILED_PAUSE)
+        await asyncio.sleep(_RETRY_PAUSE)
 
 
 async def _all_written(writes: list[Awaitable[bool]]) -> bool:
