--- a/orchidrail/platform/http_calls.py
+++ b/orchidrail/platform/http_calls.py
@@ -30,7 +30,7 @@
 #: Time in which a response that has begun must be complete. The store lists
 #: 1 MB at once, which takes 1.6 s at 5 Mbit/s.
 _MAX_RESPONSE_DURATION: Seconds = 4.0
-#: Idle connections are kept open; longer than a worker stays without a call.
+#: Idle connections are kept open longer than a worker goes without a call.
 _KEEP_ALIVE: Seconds = 60
 #: Body of the placeholder for a response that timed out.
 _TIMED_OUT = b'silent'
@@ -145,9 +145,9 @@
 
     def _drop_unused(self) -> None:
         """Drop the pools of addresses that no longer respond."""
-        before = self._clock() - _KEEP_ALIVE
+        cutoff = self._clock() - _KEEP_ALIVE
         for address, pool in list(self._pool_by_address.items()):
-            if pool.last_response_at < before and not pool.calls:
+            if pool.last_response_at < cutoff and not pool.calls:
                 self._drop(address, pool, DropReason.UNUSED)
 
     def _handle_timeout(
@@ -185,11 +185,11 @@
         if now - self._all_dropped_at < _DROP_ALL_INTERVAL:
             return
         self._all_dropped_at = now
-        before = now - max(waited, _UNRESPONSIVE_WINDOW)
+        cutoff = now - max(waited, _UNRESPONSIVE_WINDOW)
         unresponsive = [
             (address, pool)
             for address, pool in self._pool_by_address.items()
-            if pool.last_response_at < before
+            if pool.last_response_at < cutoff
         ]
         for address, pool in unresponsive:
             self._drop(address, pool, DropReason.OTHERS_TIMED_OUT)
--- a/orchidrail/platform/store_log.py
+++ b/orchidrail/platform/store_log.py
@@ -38,7 +38,7 @@
 _GONE = 410
 _END_MOVED = 412
 _LENGTH = struct.Struct('>I')
-#: Two numbers of eight bytes each: the end and the first offset kept.
+#: Two numbers of eight bytes each: the end and the first offset retained.
 _POSITIONS = struct.Struct('>QQ')
 _READ_KB = 1024
 _TIMEOUT: Seconds = 1.2
