--- a/orchidrail/shard/admission.py
+++ b/orchidrail/shard/admission.py
@@ -1,4 +1,4 @@
-"""Why a job is not taken, where that is known as it comes."""
+"""Admission control: decides which new jobs a shard rejects."""
 
 from __future__ import annotations
 
@@ -13,24 +13,26 @@
 from orchidrail.work.tenant import Tenant
 
 _log = structlog.get_logger()
-#: Part of a service's room that stays free of what is beyond its tenant's
-#: share: work of others that comes next needs it, and a task that runs is not
-#: stopped for them. On modelled days of a tenant at six times its usual this
-#: costs the others nothing; a tenth costs them 0.011 and 0.014 of their worth
-#: (means of eight days), and 0.033 on the worst three.
-_SPARED = 0.2
-#: Least time between two lines on a tenant's refusals, which may be hundreds.
-_TELL_EVERY: Seconds = 1.0
+#: Share of a service's capacity that jobs over their tenant's fair share leave
+#: free: other tenants need it for work to come, and running tasks are not
+#: preempted for them. In simulations with one tenant at six times its usual
+#: load this costs the other tenants nothing. A share of 0.1 costs them 0.011
+#: and 0.014 of their value (means over eight days), and 0.033 on the worst
+#: three days.
+_MIN_FREE_SHARE = 0.2
+#: Minimum interval between two log lines on a tenant's rejected jobs, which may
+#: be hundreds.
+_LOG_INTERVAL: Seconds = 1.0
 
 
 class Rejection(NamedTuple):
-    """Why a job is refused; nothing of it will ever run.
+    """Why a job is rejected; no part of it will ever run.
 
     Parameters
     ----------
     code : WorkCode
     retry_after : float
-        Seconds after which it may be taken; 0 if no time helps.
+        Seconds after which it may be accepted; 0 if waiting does not help.
     """
 
     code: WorkCode
@@ -38,14 +40,14 @@
 
 
 def check_known_job(known: StoredState, tenant: Tenant) -> Rejection | None:
-    """Return why a job that comes again is refused: it is another tenant's."""
+    """Reject a resubmitted job that belongs to another tenant."""
     if known.tenant and known.tenant != tenant.name:
         return Rejection(WorkCode.ID_CONFLICT)
     return None
 
 
 class AdmissionControl:
-    """Looks for reasons to refuse new jobs.
+    """Finds reasons to reject new jobs.
 
     Parameters
     ----------
@@ -53,10 +55,11 @@
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Go by the limits in force."""
+        """Use the limits and fair shares of `state`."""
         self._state = state
-        #: When the refusals of each tenant were told last, and how many since.
-        self._refused_by_tenant: dict[TenantId, tuple[Seconds, int]] = {}
+        #: Per tenant: time of the last log line on rejected jobs, and how many
+        #: were rejected since.
+        self._rejected_by_tenant: dict[TenantId, tuple[Seconds, int]] = {}
 
     def find(
         self,
@@ -64,12 +67,12 @@
         spec: JobSpec,
         tenant: Tenant,
     ) -> Rejection | None:
-        """Return why a job can't be taken, if there is a reason.
+        """Return why a job is rejected, None if it is accepted.
 
-        A task, or a gang, above its tenant's limit would wait for ever; its
-        caller is told at once. One that was accepted before the limit fell
-        below it stays: the limit may rise again. What is beyond its tenant's
-        share is refused where others may need the room.
+        A task or gang above its tenant's limit would wait forever, so its
+        caller is told at once. One that was accepted before the limit was
+        lowered stays: the limit may be raised again. Work over its tenant's
+        fair share is rejected if others may need the capacity.
         """
         current = self._state.ledger.current(tenant)
         if not self._fits(spec, current):
@@ -77,51 +80,53 @@
         time_until_within_share = self._state.shares.time_until_within_share(
             current
         )
-        if time_until_within_share and not self._room_to_spare(queue):
-            self._tell_refused(current, time_until_within_share)
+        if time_until_within_share and not self._has_spare_capacity(queue):
+            self._log_rejected(current, time_until_within_share)
             return Rejection(WorkCode.OVER_SHARE, time_until_within_share)
         return None
 
-    def _tell_refused(
+    def _log_rejected(
         self, tenant: Tenant, time_until_within_share: Seconds
     ) -> None:
-        """Tell of refusals, at most each second for each tenant."""
+        """Log rejected jobs, at most once a second for each tenant."""
         now = self._state.clock()
-        told_at, untold = self._refused_by_tenant.get(tenant.name, (-1.0, 0))
-        if now - told_at < _TELL_EVERY:
-            self._refused_by_tenant[tenant.name] = told_at, untold + 1
+        logged_at, unlogged = self._rejected_by_tenant.get(
+            tenant.name, (-1.0, 0)
+        )
+        if now - logged_at < _LOG_INTERVAL:
+            self._rejected_by_tenant[tenant.name] = logged_at, unlogged + 1
             return
-        self._refused_by_tenant[tenant.name] = now, 0
+        self._rejected_by_tenant[tenant.name] = now, 0
         _log.info(
             'jobs beyond their share refused',
             tenant=tenant.name,
             weight=tenant.weight,
-            count=untold + 1,
+            count=unlogged + 1,
             owed_in=round(time_until_within_share, 3),
         )
 
     def _fits(self, spec: JobSpec, current: Tenant) -> bool:
         for number, step in enumerate(spec.steps):
-            at_once = concurrent_size(step)
-            if not current.ever_fits(at_once):
+            concurrent = concurrent_size(step)
+            if not current.ever_fits(concurrent):
                 _log.info(
                     'job never fits its tenant',
                     tenant=current.name,
                     step=number,
-                    needs=at_once,
+                    needs=concurrent,
                     maximum=current.maximum,
                 )
                 return False
         return True
 
-    def _room_to_spare(self, queue: QueueSettings) -> bool:
-        """Whether enough of a service's room is free."""
-        free, whole = 0, 0
+    def _has_spare_capacity(self, queue: QueueSettings) -> bool:
+        """Whether enough of a service's capacity is free."""
+        free, total = 0, 0
         now = self._state.clock()
         for tracked in self._state.tracked_by_worker.values():
             if tracked.entry.service == queue.service and tracked.accepts_work(
                 now
             ):
                 free += tracked.free.millicores
-                whole += tracked.entry.capacity.millicores
-        return free > whole * _SPARED
+                total += tracked.entry.capacity.millicores
+        return free > total * _MIN_FREE_SHARE
--- a/orchidrail/shard/blocked_gangs.py
+++ b/orchidrail/shard/blocked_gangs.py
@@ -1,8 +1,8 @@
-"""Tells of gangs that can't start again before a lost worker is settled.
+"""Logs gangs that cannot start until an unreachable worker is resolved.
 
-A gang starts as a whole. While a run of one member may still be on a worker
-that does not answer, none of the others is placed, and the step is not among
-those that wait for room.
+A gang starts as a whole. While a run of one member may still be on an
+unreachable worker, none of the other members is placed, and the step is not
+among those that wait for capacity.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
 from orchidrail.work.step import StepState
 
 _log = structlog.get_logger()
-#: A gang is told of again after this long.
-_TOLD_EVERY: Seconds = 4.0
-#: Gangs told of at one time, and workers named of each.
-_MOST_TOLD = 10
-_MOST_NAMED = 3
+#: Minimum interval between two log lines on the same gang.
+_LOG_INTERVAL: Seconds = 4.0
+#: Maximum numbers of gangs logged in one report, and of workers per gang.
+_MAX_LOGGED_GANGS = 10
+_MAX_NAMED_WORKERS = 3
 
 
 class BlockedGangs:
-    """Follows the gangs of a shard that are held back.
+    """Tracks the blocked gangs of a shard.
 
     Parameters
     ----------
@@ -36,49 +36,51 @@
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Start with nothing told."""
+        """Create a reporter that has logged nothing yet."""
         self._state = state
-        self._told_at_by_step: dict[str, Seconds] = {}
+        self._logged_at_by_step: dict[str, Seconds] = {}
 
     def report(self, jobs: Iterable[Job]) -> None:
-        """Log the gangs held back.
+        """Log the blocked gangs.
 
         Parameters
         ----------
         jobs : iterable of Job
-            Those with a task on a lost worker.
+            Those with a task on an unreachable worker.
         """
         now = self._state.clock()
-        lost_by_step = {
-            step: lost for job in jobs for step, lost in self._held_back(job)
+        unreachable_by_step = {
+            step: unreachable
+            for job in jobs
+            for step, unreachable in self._find_blocked(job)
         }
-        due = [step for step in lost_by_step if self._is_due(step, now)]
-        for step in due[:_MOST_TOLD]:
-            self._told_at_by_step[step.key] = now
-            self._tell(step, lost_by_step[step])
-        still = {step.key for step in lost_by_step}
-        for key in self._told_at_by_step.keys() - still:
-            self._told_at_by_step.pop(key)
+        due = [step for step in unreachable_by_step if self._is_due(step, now)]
+        for step in due[:_MAX_LOGGED_GANGS]:
+            self._logged_at_by_step[step.key] = now
+            self._log_gang(step, unreachable_by_step[step])
+        still_blocked = {step.key for step in unreachable_by_step}
+        for key in self._logged_at_by_step.keys() - still_blocked:
+            self._logged_at_by_step.pop(key)
 
     def _is_due(self, step: StepState, now: Seconds) -> bool:
-        told_at = self._told_at_by_step.get(step.key)
-        return told_at is None or now - told_at >= _TOLD_EVERY
+        logged_at = self._logged_at_by_step.get(step.key)
+        return logged_at is None or now - logged_at >= _LOG_INTERVAL
 
-    def _held_back(
+    def _find_blocked(
         self,
         job: Job,
     ) -> Iterator[tuple[StepState, list[WorkerId]]]:
-        """Yield the gangs held back, each with its lost workers."""
+        """Yield the blocked gangs, each with its unreachable workers."""
         workers_by_step: dict[StepState, set[WorkerId]] = defaultdict(set)
         for task in job.placed_tasks():
             if task.step.spec.gang:
                 workers_by_step[task.step].add(task.worker)
         for step, workers in workers_by_step.items():
-            lost = sorted(filter(self._state.is_unreachable, workers))
-            if lost and _count(step, TaskPhase.WAITING):
-                yield step, lost
+            unreachable = sorted(filter(self._state.is_unreachable, workers))
+            if unreachable and _count(step, TaskPhase.WAITING):
+                yield step, unreachable
 
-    def _tell(self, step: StepState, lost: list[WorkerId]) -> None:
+    def _log_gang(self, step: StepState, unreachable: list[WorkerId]) -> None:
         _log.info(
             'gang held back',
             job=step.job.job_id,
@@ -87,7 +89,7 @@
             waiting=_count(step, TaskPhase.WAITING),
             placed=_count(step, TaskPhase.PLACED),
             unheard=round(longest_silence(self._state, step), 3),
-            lost=lost[:_MOST_NAMED],
+            lost=unreachable[:_MAX_NAMED_WORKERS],
         )
 
 
--- a/orchidrail/shard/candidate_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -1,8 +1,8 @@
-"""The workers that one pass may place on, found by the room that they have.
+"""Candidate workers of one placement pass, indexed by free capacity.
 
-A cell near its limit has hundreds of workers of which few have room for a
-large task, and many steps that wait. So a pass sorts the workers once, and a
-step looks only at those whose free processor time is enough.
+Near full load, few of hundreds of workers have enough free capacity for a large
+task, while many steps wait. So a pass sorts the workers once, and a step
+examines only those with enough free processor time.
 """
 
 from __future__ import annotations
@@ -20,156 +20,168 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 
-#: Longest time for which a task that was at work, and is to be back, is held
-#: back for other work: a third of the time that it may be away.
-_HELD_BACK_FOR: Seconds = 2.0
-#: Longest time for which work is kept off workers that rest, while half of its
-#: service's room is free: each further failure there makes the rest longer.
-_OFF_RESTING_FOR: Seconds = 2.0
-#: Longest time for which other work is held back while half of its service's
-#: room is free. It may stand still for 3 s then, a question for tickets and the
-#: wait for a lane among that.
-_HELD_BACK_AT_HALF_FOR: Seconds = 1.0
+#: Maximum time for which an interrupted long-running task is deferred for other
+#: work: a third of the time that it may be interrupted.
+_MAX_INTERRUPTED_DEFERRAL: Seconds = 2.0
+#: Maximum time for which work is kept off quarantined workers while half of its
+#: service's capacity is free. Each further failure on a worker extends its
+#: quarantine, so the wait would have no bound without this.
+_MAX_QUARANTINE_AVOIDANCE: Seconds = 2.0
+#: Maximum time for which other work is deferred while half of its service's
+#: capacity is free. It may then make no progress for 3 s, which includes an
+#: advice request and the wait for a lane.
+_MAX_DEFERRAL: Seconds = 1.0
 _HALVES = 2
 
 
-class _ByRoom(NamedTuple):
-    """A service's workers, those with least free processor time first."""
+class _ByFreeCapacity(NamedTuple):
+    """Workers of a service, in ascending order of free processor time."""
 
     tracked: list[TrackedWorker]
     free_millicores: list[int]
 
 
 class CandidateWorkers:
-    """The open workers of one pass.
+    """Workers that one placement pass may use.
 
     Parameters
     ----------
-    open_books : list of TrackedWorker
-        Workers that may be given new work.
+    accepting : list of TrackedWorker
+        Workers that accept work.
     now : float
-        On the owner's steady clock, seconds.
-    resting : list of TrackedWorker
-        Workers that rest, for steps that have waited too long for others.
+        On the owner's monotonic clock, seconds.
+    quarantined : list of TrackedWorker
+        Quarantined workers, for overdue steps without another choice.
     """
 
     def __init__(
         self,
-        open_books: list[TrackedWorker],
+        accepting: list[TrackedWorker],
         now: Seconds = 0,
-        resting: list[TrackedWorker] | None = None,
+        quarantined: list[TrackedWorker] | None = None,
     ) -> None:
-        """Sort the workers by what is free now."""
+        """Sort the workers by their free processor time."""
         self._now = now
-        self._resting = resting or []
-        self._by_worker = {tracked.worker: tracked for tracked in open_books}
-        self._kept: frozenset[WorkerId] = frozenset()
-        self._suitable_by_need: dict[
+        self._quarantined = quarantined or []
+        self._tracked_by_worker = {
+            tracked.worker: tracked for tracked in accepting
+        }
+        self._reserved: frozenset[WorkerId] = frozenset()
+        self._with_label_by_need: dict[
             tuple[ServiceName, str],
             list[TrackedWorker],
         ] = {}
         self._capacities_by_service: dict[ServiceName, set[Size]] = {}
         self._half_free_by_service: dict[ServiceName, bool] = {}
-        books_by_service: dict[ServiceName, list[TrackedWorker]] = defaultdict(
-            list
+        tracked_by_service: dict[ServiceName, list[TrackedWorker]] = (
+            defaultdict(list)
         )
-        for tracked in open_books:
-            books_by_service[tracked.entry.service].append(tracked)
+        for tracked in accepting:
+            tracked_by_service[tracked.entry.service].append(tracked)
         self._by_service = {
-            service: _sort_by_room(of_service)
-            for service, of_service in books_by_service.items()
+            service: _sort_by_free_capacity(of_service)
+            for service, of_service in tracked_by_service.items()
         }
 
     def reserve(self, workers: set[WorkerId]) -> None:
-        """Keep workers from the steps that come after."""
-        self._kept |= workers
+        """Reserve workers: later steps of the pass can't use them."""
+        self._reserved |= workers
 
     @property
     def reserved(self) -> frozenset[WorkerId]:
-        """The workers that are kept from the steps to come."""
-        return self._kept
+        """Workers that later steps of the pass can't use."""
+        return self._reserved
 
     def overdue_since(self, step: StepState) -> Seconds | None:
-        """Return since when a step waits that has been held back too long.
+        """Return since when an overdue step has waited.
 
-        It goes before other work then, and is placed on what is kept for
-        others too. A task that lasts and was at work is to be back however
-        full its service is; other work only while there is room.
+        An overdue step goes before other work, and may use reserved workers. An
+        interrupted long-running task becomes overdue however full its service
+        is; other work only while half of the capacity is free.
 
         Returns
         -------
-        None if the step may still be held back for other work.
+        None if the step may still be deferred for other work.
         """
         since = step.interrupted_since()
-        if since is not None and self._now - since > _HELD_BACK_FOR:
+        if since is not None and self._now - since > _MAX_INTERRUPTED_DEFERRAL:
             return since
         if not self._half_free(step.job.queue.service):
             return None
         since = step.recorded_waiting_since
         if since is None:
             return None
-        # What waits for its tenant's limit is not held back for other work.
-        held_back_since = max(since, step.limit_reached_at)
-        held_back = self._now - held_back_since > _HELD_BACK_AT_HALF_FOR
-        return since if held_back else None
+        # Time spent waiting for the tenant's limit is not a deferral.
+        deferred_since = max(since, step.limit_reached_at)
+        deferred = self._now - deferred_since > _MAX_DEFERRAL
+        return since if deferred else None
 
     def overdue(self, step: StepState) -> bool:
-        """Whether a step has been held back for other work for long enough."""
+        """Whether a step has been deferred for the maximum time."""
         return self.overdue_since(step) is not None
 
-    def may_use_resting(self, step: StepState) -> bool:
-        """Whether a step may go to workers that rest."""
+    def may_use_quarantined(self, step: StepState) -> bool:
+        """Whether a step may use quarantined workers."""
         since = self.overdue_since(step)
-        return since is not None and self._now - since > _OFF_RESTING_FOR
+        return (
+            since is not None and self._now - since > _MAX_QUARANTINE_AVOIDANCE
+        )
 
     def of_service(self, service: ServiceName) -> list[TrackedWorker]:
-        """Return all open workers of a service, also those that are kept."""
-        by_room = self._by_service.get(service)
-        return by_room.tracked if by_room else []
+        """Return all candidates of a service, also reserved ones."""
+        by_free_capacity = self._by_service.get(service)
+        return by_free_capacity.tracked if by_free_capacity else []
 
     def with_label(self, step: StepState) -> list[TrackedWorker]:
-        """Return the open workers with the label that a step needs."""
-        need = step.job.queue.service, step.spec.label
-        found = self._suitable_by_need.get(need)
+        """Return the candidates with the label that a step needs."""
+        key = step.job.queue.service, step.spec.label
+        found = self._with_label_by_need.get(key)
         if found is None:
             found = [
                 tracked
-                for tracked in self.of_service(need[0])
-                if not need[1] or need[1] in tracked.entry.labels
+                for tracked in self.of_service(key[0])
+                if not key[1] or key[1] in tracked.entry.labels
             ]
-            self._suitable_by_need[need] = found
+            self._with_label_by_need[key] = found
         return found
 
-    def unknown(self, step: StepState) -> list[TrackedWorker]:
-        """Return the workers of which the service has not been asked yet."""
-        unknown = self._by_worker.keys() - step.permits.checked
-        if not unknown:
+    def unchecked(self, step: StepState) -> list[TrackedWorker]:
+        """Return workers that the advice service was not asked about."""
+        unchecked = self._tracked_by_worker.keys() - step.permits.checked
+        if not unchecked:
             return []
-        return self._suitable(step, [self._by_worker[one] for one in unknown])
+        return self._usable(
+            step, [self._tracked_by_worker[one] for one in unchecked]
+        )
 
     def with_free_capacity(self, step: StepState) -> list[TrackedWorker]:
         """Return the workers that may run a task of a step now.
 
-        Workers on which its tasks failed of late are left out while another
-        is good. That ends by itself: the other may stay full, or hold the
-        step's most copies, for as long as its tasks run.
+        Workers on which its tasks failed recently are left out while another
+        permitted worker exists. The exclusion expires: the other worker may be
+        full, or hold the maximum number of the step's tasks, for as long as
+        these run.
         """
         step.failed_workers.forget_old(self._now)
-        found = self._with_room(step)
+        found = self._find_with_capacity(step)
+        if (
+            self._quarantined
+            and self.may_use_quarantined(step)
+            and not _can_start_on(step, found)
+        ):
+            found = found + self._quarantined_with_capacity(step)
         if (
-            self._resting
-            and self.may_use_resting(step)
-            and not _hold(step, found)
+            not found
+            or not step.failed_workers
+            or not self._has_unavoided(step)
         ):
-            found = found + self._resting_with_room(step)
-        if not found or not step.failed_workers or not self._has_other(step):
             return found
         return [
-            tracked for tracked in found if not self._avoided(step, tracked)
+            tracked for tracked in found if not self._is_avoided(step, tracked)
         ]
 
     def max_copies(self, spec: StepSpec, service: ServiceName) -> int:
-        """Return how many of a step's tasks the largest worker holds."""
+        """Return how many of a step's tasks fit on the largest worker."""
         return max(
             (
                 spec.charged.copies_in(capacity)
@@ -179,44 +191,47 @@
         )
 
     def has_permitted(self, step: StepState) -> bool:
-        """Whether an open worker is known that may run a step."""
+        """Whether a candidate is known to be permitted for a step."""
         if step.job.queue.advice is None:
             return bool(self.with_label(step))
-        return not self._by_worker.keys().isdisjoint(step.permits.permitted)
+        return not self._tracked_by_worker.keys().isdisjoint(
+            step.permits.permitted
+        )
 
     def permitted_for(self, step: StepState) -> list[TrackedWorker]:
-        """Return the usable workers known to be good, with room or without."""
+        """Return usable permitted workers, with or without capacity."""
         with_label = self.with_label(step)
         if step.job.queue.advice is not None:
-            with_label = self._good_of(step, with_label)
-        return self._suitable(step, with_label)
+            with_label = self._permitted_among(step, with_label)
+        return self._usable(step, with_label)
 
-    def _suitable(
+    def _usable(
         self,
         step: StepState,
         found: list[TrackedWorker],
     ) -> list[TrackedWorker]:
-        """Leave out those that are kept, avoided, or that can't run the step.
+        """Filter out workers that are reserved, avoided or unsuitable.
 
-        The workers come by name, so that the same cell gives the same choice.
+        The result is sorted by worker name, so that the choice is
+        deterministic.
         """
         service = step.job.queue.service
         suitable = [
             tracked
             for tracked in found
             if tracked.entry.service == service
-            and tracked.worker not in self._kept
-            and not self._avoided(step, tracked)
+            and tracked.worker not in self._reserved
+            and not self._is_avoided(step, tracked)
             and matches_worker(step.spec, tracked)
         ]
         if role_of(step.spec) is not TaskRole.PLAIN:
-            suitable = self._beside(step, suitable)
+            suitable = self._filter_colocatable(step, suitable)
         return sorted(suitable, key=attrgetter('worker'))
 
-    def _with_room(self, step: StepState) -> list[TrackedWorker]:
-        """Return the workers with room, beside tasks that the step bears."""
+    def _find_with_capacity(self, step: StepState) -> list[TrackedWorker]:
+        """Return workers with free capacity and compatible tasks."""
         size: Size = step.spec.charged
-        reserved = frozenset() if self.overdue(step) else self._kept
+        reserved = frozenset() if self.overdue(step) else self._reserved
         found = [
             tracked
             for tracked in self._with_processor_time(step, size.millicores)
@@ -224,38 +239,48 @@
         ]
         if role_of(step.spec) is TaskRole.PLAIN:
             return found
-        apart = [
+        compatible = [
             tracked for tracked in found if tracked.is_compatible(step.spec)
         ]
-        return apart if _hold(step, apart) else self._beside(step, found)
+        return (
+            compatible
+            if _can_start_on(step, compatible)
+            else self._filter_colocatable(step, found)
+        )
 
-    def _resting_with_room(self, step: StepState) -> list[TrackedWorker]:
-        """Return the resting workers with room for what has waited too long."""
+    def _quarantined_with_capacity(
+        self, step: StepState
+    ) -> list[TrackedWorker]:
+        """Return quarantined workers with capacity for an overdue step."""
         advised = step.job.queue.advice is not None
         found = [
             tracked
-            for tracked in self._resting
+            for tracked in self._quarantined
             if tracked.entry.service == step.job.queue.service
             and (not advised or tracked.worker in step.permits.permitted)
             and step.spec.charged.fits(tracked.free)
             and matches_worker(step.spec, tracked)
         ]
-        return self._beside(step, found)
+        return self._filter_colocatable(step, found)
 
-    def _beside(
+    def _filter_colocatable(
         self,
         step: StepState,
         found: list[TrackedWorker],
     ) -> list[TrackedWorker]:
-        """Leave out those beside whose tasks a step's are not put."""
+        """Filter out workers with tasks that may not be colocated."""
         if separation_expired(step, self._now):
-            return [tracked for tracked in found if self._bears(step, tracked)]
+            return [
+                tracked
+                for tracked in found
+                if self._may_colocate(step, tracked)
+            ]
         return [
             tracked for tracked in found if tracked.is_compatible(step.spec)
         ]
 
-    def _bears(self, step: StepState, tracked: TrackedWorker) -> bool:
-        """Whether a step that waits too long is put beside what runs there."""
+    def _may_colocate(self, step: StepState, tracked: TrackedWorker) -> bool:
+        """Whether tasks of an overdue step may be colocated there."""
         return tracked.is_compatible(step.spec) or may_share_worker(
             step, tracked, self._now
         )
@@ -265,37 +290,43 @@
         step: StepState,
         millicores: int,
     ) -> list[TrackedWorker]:
-        """Return the workers with enough of it, by the shorter way."""
-        by_room = self._by_service.get(step.job.queue.service)
-        if by_room is None:
+        """Return workers that may have enough free processor time.
+
+        If fewer workers are permitted than have enough, all permitted ones are
+        returned: the caller compares their free capacity.
+        """
+        by_free_capacity = self._by_service.get(step.job.queue.service)
+        if by_free_capacity is None:
             return []
-        first = bisect.bisect_left(by_room.free_millicores, millicores)
-        found = by_room.tracked[first:]
+        first = bisect.bisect_left(by_free_capacity.free_millicores, millicores)
+        found = by_free_capacity.tracked[first:]
         if step.job.queue.advice is not None:
-            found = self._good_of(step, found)
+            found = self._permitted_among(step, found)
         label = step.spec.label
         if not label:
             return found
         return [tracked for tracked in found if label in tracked.entry.labels]
 
-    def _good_of(
+    def _permitted_among(
         self,
         step: StepState,
         found: list[TrackedWorker],
     ) -> list[TrackedWorker]:
-        good = step.permits.permitted
-        if len(found) <= len(good):
-            return [tracked for tracked in found if tracked.worker in good]
+        permitted_ids = step.permits.permitted
+        if len(found) <= len(permitted_ids):
+            return [
+                tracked for tracked in found if tracked.worker in permitted_ids
+            ]
         service = step.job.queue.service
-        by_worker = self._by_worker
+        by_worker = self._tracked_by_worker
         return [
             by_worker[worker]
-            for worker in sorted(good & by_worker.keys())
+            for worker in sorted(permitted_ids & by_worker.keys())
             if by_worker[worker].entry.service == service
         ]
 
     def _capacities(self, service: ServiceName) -> set[Size]:
-        """Return the different sizes of a service's workers."""
+        """Return the distinct capacities of a service's workers."""
         found = self._capacities_by_service.get(service)
         if found is None:
             found = {
@@ -305,62 +336,72 @@
         return found
 
     def _half_free(self, service: ServiceName) -> bool:
-        """Whether less than half of each kind of a service's room is in use."""
+        """Whether less than half of each resource of a service is in use."""
         found = self._half_free_by_service.get(service)
         if found is None:
-            resting = [
+            quarantined = [
                 tracked
-                for tracked in self._resting
+                for tracked in self._quarantined
                 if tracked.entry.service == service
             ]
-            found = _is_half_free(self.of_service(service) + resting)
+            found = _is_half_free(self.of_service(service) + quarantined)
             self._half_free_by_service[service] = found
         return found
 
-    def _has_other(self, step: StepState) -> bool:
-        """Whether a good worker is open that a step does not avoid."""
+    def _has_unavoided(self, step: StepState) -> bool:
+        """Whether a step has a permitted worker that it does not avoid."""
         with_label = self.with_label(step)
         if step.job.queue.advice is not None:
-            with_label = self._good_of(step, with_label)
-        return not all(self._avoided(step, tracked) for tracked in with_label)
+            with_label = self._permitted_among(step, with_label)
+        return not all(
+            self._is_avoided(step, tracked) for tracked in with_label
+        )
 
-    def _avoided(self, step: StepState, tracked: TrackedWorker) -> bool:
+    def _is_avoided(self, step: StepState, tracked: TrackedWorker) -> bool:
         return step.failed_workers.avoids(tracked.worker, self._now)
 
 
 def may_place_on(step: StepState, tracked: TrackedWorker, now: Seconds) -> bool:
-    """Whether tasks of a step may go to a worker, as far as its rest goes."""
+    """Whether a step's tasks may start on a worker, quarantined or not."""
     if tracked.accepts_work(now):
         return True
     since = step.waiting_since()
-    wait_expired = since is not None and now - since > _OFF_RESTING_FOR
+    wait_expired = since is not None and now - since > _MAX_QUARANTINE_AVOIDANCE
     return wait_expired and tracked.available
 
 
-def _sort_by_room(of_service: list[TrackedWorker]) -> _ByRoom:
+def _sort_by_free_capacity(of_service: list[TrackedWorker]) -> _ByFreeCapacity:
     ordered = sorted(of_service, key=lambda tracked: tracked.free.millicores)
-    return _ByRoom(ordered, [tracked.free.millicores for tracked in ordered])
+    return _ByFreeCapacity(
+        ordered, [tracked.free.millicores for tracked in ordered]
+    )
 
 
 def _is_half_free(of_service: list[TrackedWorker]) -> bool:
-    """Whether less than half of each kind of some workers' room is in use.
+    """Whether less than half of each resource of some workers is used.
 
-    Kind by kind, since that of a cell near its limit is told by the first.
+    Resources are compared one by one, since a cell is near its limit as soon as
+    one of them is.
     """
-    for kind in map(attrgetter, Size._fields):
-        whole = sum(kind(tracked.entry.capacity) for tracked in of_service)
-        free = sum(kind(tracked.free) for tracked in of_service)
-        # What is held for questions is used by nobody yet.
+    for resource in map(attrgetter, Size._fields):
+        total = sum(resource(tracked.entry.capacity) for tracked in of_service)
+        free = sum(resource(tracked.free) for tracked in of_service)
+        # Capacity on hold for advice requests is not in use yet.
         free += sum(
-            kind(tracked.held) for tracked in of_service if tracked.held_by_step
+            resource(tracked.held)
+            for tracked in of_service
+            if tracked.held_by_step
         )
-        if whole and _HALVES * free <= whole:
+        if total and _HALVES * free <= total:
             return False
     return True
 
 
-def _hold(step: StepState, found: list[TrackedWorker]) -> bool:
-    """Whether workers take what must start together of a step."""
+def _can_start_on(step: StepState, found: list[TrackedWorker]) -> bool:
+    """Whether workers have capacity for a step's minimum unit.
+
+    The unit is the whole step for a gang, otherwise one task.
+    """
     spec = step.spec
     copies = sum(
         tracked.slots_for(step.key, spec.charged, spec.most_per_worker)
--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -1,11 +1,12 @@
-"""When a task that fills and one that serves share a worker all the same.
-
-What fills slows what serves, by an amount that nobody knows before, so the two
-are kept apart while there are other workers. But either may be on all workers
-that the other may use, for good. So a task that has waited for a while is put
-beside the other kind, the answers of what serves are watched there, and what
-fills is stopped where they are late. It goes elsewhere then, or comes back
-after a time.
+"""Colocation of best-effort and latency-sensitive tasks on one worker.
+
+Best-effort tasks slow latency-sensitive ones by an amount that is not known in
+advance, so the two are separated while other workers are available. But one of
+them may occupy all workers that the other may use, without end. So a task that
+has waited for a while is colocated with the other class, the response times of
+the latency-sensitive task are monitored there, and the best-effort task is
+stopped if they exceed their target. It then goes elsewhere, or comes back after
+a while.
 """
 
 from __future__ import annotations
@@ -21,26 +22,28 @@
 from orchidrail.types import Seconds
 from orchidrail.work.step import StepState
 
-#: Wait after which tasks are put beside those that they are kept from: a
-#: question for tickets and a start must follow before they stand still for 3 s.
-_KEPT_APART_FOR: Seconds = 1.5
-#: Time for which answers must be late: what is listed is rough, and a worker is
-#: heard each 0.8 s. Users bear it for 4 s, a stop takes up to 0.9 s.
-_LATE_FOR: Seconds = 0.7
-#: How long a worker on which answers were late gets no more of what fills: how
-#: much the two disturb each other shifts within seconds, and a task that has no
-#: other worker stands still meanwhile.
-_PARTED_FOR: Seconds = 2.0
+#: Wait after which tasks are colocated with the other class. It leaves time for
+#: an advice request and a start within the 3 s for which tasks may make no
+#: progress.
+_MAX_SEPARATION: Seconds = 1.5
+#: How long response times must exceed their target: listed times are rough, and
+#: a worker reports every 0.8 s. Users tolerate high response times for 4 s, of
+#: which a stop takes up to 0.9 s.
+_LATE_DURATION: Seconds = 0.7
+#: How long a worker with late responses gets no more best-effort tasks. Kept
+#: short: interference changes within seconds, and a task without another worker
+#: makes no progress meanwhile.
+_BAR_DURATION: Seconds = 2.0
 
 
 def separation_expired(step: StepState, now: Seconds) -> bool:
-    """Whether tasks of a step have waited for too long to be kept apart."""
+    """Whether tasks of a step have waited too long to stay separated."""
     since = step.waiting_since()
-    return since is not None and now - since >= _KEPT_APART_FOR
+    return since is not None and now - since >= _MAX_SEPARATION
 
 
 def may_colocate(step: StepState, tracked: TrackedWorker, now: Seconds) -> bool:
-    """Whether a step's tasks may be put beside what runs on a worker now."""
+    """Whether a step's tasks may be added to a worker's current runs."""
     if tracked.is_compatible(step.spec):
         return True
     return separation_expired(step, now) and may_share_worker(
@@ -51,10 +54,10 @@
 def may_share_worker(
     step: StepState, tracked: TrackedWorker, now: Seconds
 ) -> bool:
-    """Whether a step that waits too long may be put beside the other kind.
+    """Whether an overdue step may be colocated with the other class.
 
-    What fills must be free to be stopped again, and must not have been stopped
-    there of late.
+    Only if the best-effort tasks may be stopped again, and none was stopped
+    there recently.
     """
     if now < tracked.best_effort_barred_until:
         return False
@@ -67,7 +70,7 @@
 
 
 def best_effort_runs(runs: Iterable[PlacedRun]) -> list[PlacedRun]:
-    """Return the runs among some that fill."""
+    """Return the best-effort runs among some runs."""
     return [
         run
         for run in runs
@@ -79,11 +82,11 @@
 def best_effort_to_evict(
     tracked: TrackedWorker, now: Seconds
 ) -> list[PlacedRun]:
-    """Return the runs to be stopped where answers have been late for long."""
+    """Return the runs to stop where response times stay too long."""
     runs = tracked.run_by_key.values()
-    if not any(now - run.late_since >= _LATE_FOR for run in runs):
+    if not any(now - run.late_since >= _LATE_DURATION for run in runs):
         return []
     found = best_effort_runs(runs)
     if found:
-        tracked.best_effort_barred_until = now + _PARTED_FOR
+        tracked.best_effort_barred_until = now + _BAR_DURATION
     return found
--- a/orchidrail/shard/decaying_peak.py
+++ b/orchidrail/shard/decaying_peak.py
@@ -1,4 +1,4 @@
-"""The last peak of a figure, which is forgotten by and by."""
+"""Peak value that decays exponentially over time."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 from orchidrail.types import Seconds
 
-#: Time in which the memory of a peak falls to a third. Bursts on the users'
-#: sites last 4 s, and the next comes within 10 to 15 s.
-_FORGETS_IN: Seconds = 10.0
+#: Time in which a recorded peak decays to 1/e, about a third. Bursts at the
+#: users' sites last 4 s, and the next one follows within 10 to 15 s.
+_DECAY_TIME: Seconds = 10.0
 
 
 class DecayingPeak:
-    """Follows one figure.
+    """Peak of one value.
 
     Examples
     --------
@@ -24,17 +24,17 @@
     """
 
     def __init__(self) -> None:
-        """Start without a peak."""
+        """Start with a peak of zero."""
         self._peak: float = 0
-        self._noted_at: Seconds = 0
+        self._recorded_at: Seconds = 0
 
-    def note(self, figure: float, now: Seconds) -> None:
-        """Take the figure of this moment."""
-        self._peak = max(figure, self.at(now))
-        self._noted_at = now
+    def note(self, value: float, now: Seconds) -> None:
+        """Record the current value."""
+        self._peak = max(value, self.at(now))
+        self._recorded_at = now
 
     def at(self, now: Seconds) -> float:
-        """Return what is left of the peak."""
-        if now <= self._noted_at:
+        """Return the decayed peak."""
+        if now <= self._recorded_at:
             return self._peak
-        return self._peak * math.exp((self._noted_at - now) / _FORGETS_IN)
+        return self._peak * math.exp((self._recorded_at - now) / _DECAY_TIME)
--- a/orchidrail/shard/eligibility.py
+++ b/orchidrail/shard/eligibility.py
@@ -1,8 +1,8 @@
-"""What keeps each worker from taking a task of a step that waits.
+"""Reports why workers are not eligible for a waiting step.
 
 A cell may have tens of thousands of workers, and many steps that wait for long.
-What is the same for all steps is found out once for all of them, and a step
-looks one by one only at the open workers that are permitted for it.
+Whatever is the same for all steps is evaluated once, and a step examines one by
+one only its permitted workers that accept work.
 """
 
 from __future__ import annotations
@@ -21,55 +21,56 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 
-#: Workers with room that are named.
-_MOST_NAMED = 3
+#: Maximum number of workers named that have enough free capacity.
+_MAX_NAMED = 3
 
 
 class IneligibleReason(Enum):
-    """Why a worker is not given a task; the first that holds is told."""
+    """Why a worker is not given a task; the first that applies is reported."""
 
-    #: It is of another kind, or too small even when it is idle.
+    #: It lacks the label, or is too small even when it is idle.
     UNSUITED = 'unsuited'
-    #: Job after job failed there, or it refused an order.
+    #: It is quarantined: several jobs failed there, or it rejected an order.
     RESTS = 'rests'
-    #: A task that may end its workers is tried there.
+    #: It runs an isolated retry of a task that is suspected of crashes.
     TRIAL = 'trial'
-    #: It takes no new work for another reason: it drains, is silent or gone.
+    #: It accepts no work for another reason: it drains, is unresponsive or
+    #: gone.
     CLOSED = 'closed'
     #: The advice service has not been asked about it.
     NOT_ASKED = 'notAsked'
-    #: The advice service has said that it may not run the step.
+    #: The advice service does not permit it for the step.
     NOT_PERMITTED = 'notPermitted'
-    #: It has room only in what is held for the questions of other steps.
+    #: It has capacity only within the holds of other steps' advice requests.
     HELD = 'held'
     ROOM = 'room'
-    #: It has as many tasks of the step as one worker may.
+    #: It already runs the maximum number of the step's tasks.
     COPIES = 'copies'
-    #: A task there must not be beside one of this step.
+    #: It runs a task of a QoS class that must not be colocated with the step.
     ROLE = 'role'
-    #: It is kept for work that goes first.
+    #: It is reserved for work that goes first.
     KEPT = 'kept'
-    #: A task of the step failed there.
+    #: A task of the step failed there recently.
     FAILED = 'failed'
-    #: Its ticket has run out.
+    #: Its ticket has expired.
     TICKET = 'ticket'
     NONE = 'none'
 
 
 class EligibilitySummary(NamedTuple):
-    """What the workers of a service are to a step that waits.
+    """Eligibility of a service's workers for a waiting step.
 
     Parameters
     ----------
     count_by_reason : Counter
-        All workers by what keeps them from the step.
+        Number of workers by the reason why they are not eligible.
     reason_by_idle_worker : dict
-        Some of the permitted workers that run too little to be full for a task
-        of the step, in order of their names.
+        Some of the permitted workers that have enough free capacity for a
+        task of the step, in order of their names.
     held : int
-        Workers with room held for the question of any step.
+        Workers with a hold for an advice request of any step.
     examined : int
-        Workers that were looked at one by one.
+        Workers that were examined one by one.
     """
 
     count_by_reason: Counter[IneligibleReason]
@@ -78,41 +79,44 @@
     examined: int
 
 
-class _Sight(NamedTuple):
-    """What an obstacle is seen by."""
+class _CheckContext(NamedTuple):
+    """Arguments of the checks of one step."""
 
     step: StepState
     reserved: frozenset[WorkerId]
     now: Seconds
 
 
-def _is_held(sight: _Sight, tracked: TrackedWorker) -> bool:
-    if not tracked.held_by_step or not _has_no_room(sight, tracked):
+def _is_on_hold(context: _CheckContext, tracked: TrackedWorker) -> bool:
+    if not tracked.held_by_step or not _lacks_capacity(context, tracked):
         return False
-    return sight.step.spec.charged.fits(tracked.free + tracked.held)
+    return context.step.spec.charged.fits(tracked.free + tracked.held)
 
 
-def _has_no_room(sight: _Sight, tracked: TrackedWorker) -> bool:
-    own = tracked.held_by_step.get(sight.step.key)
-    free = tracked.free if own is None else tracked.free + own
-    return not sight.step.spec.charged.fits(free)
+def _lacks_capacity(context: _CheckContext, tracked: TrackedWorker) -> bool:
+    own_hold = tracked.held_by_step.get(context.step.key)
+    free = tracked.free if own_hold is None else tracked.free + own_hold
+    return not context.step.spec.charged.fits(free)
 
 
-def _has_most_copies(sight: _Sight, tracked: TrackedWorker) -> bool:
-    most = sight.step.spec.most_per_worker
-    return bool(most) and tracked.count_by_step[sight.step.key] >= most
+def _has_max_copies(context: _CheckContext, tracked: TrackedWorker) -> bool:
+    max_copies = context.step.spec.most_per_worker
+    return (
+        bool(max_copies)
+        and tracked.count_by_step[context.step.key] >= max_copies
+    )
 
 
-def _has_no_ticket(sight: _Sight, tracked: TrackedWorker) -> bool:
-    step = sight.step
+def _lacks_ticket(context: _CheckContext, tracked: TrackedWorker) -> bool:
+    step = context.step
     advised = step.job.queue.advice is not None
     return advised and not step.permits.has_valid_ticket(
-        tracked.worker, sight.now
+        tracked.worker, context.now
     )
 
 
-#: What keeps a worker from all steps.
-_TEST_BY_CLOSING: dict[
+#: Reasons that apply to all steps.
+_CHECK_BY_GENERAL_REASON: dict[
     IneligibleReason, Callable[[TrackedWorker, Seconds], bool]
 ] = {
     IneligibleReason.RESTS: lambda tracked, now: (
@@ -121,32 +125,33 @@
     IneligibleReason.TRIAL: lambda tracked, now: bool(tracked.isolated_runs),
     IneligibleReason.CLOSED: lambda tracked, now: not tracked.accepts_work(now),
 }
-#: What keeps an open and permitted worker from a step. In order: what holds for
-#: good first, what a question would end last.
-_TEST_BY_OBSTACLE: dict[
-    IneligibleReason, Callable[[_Sight, TrackedWorker], bool]
+#: Reasons that apply to a step on a permitted worker that accepts work. Checked
+#: in order: permanent reasons first, those that an advice request would resolve
+#: last.
+_CHECK_BY_STEP_REASON: dict[
+    IneligibleReason, Callable[[_CheckContext, TrackedWorker], bool]
 ] = {
-    IneligibleReason.HELD: _is_held,
-    IneligibleReason.ROOM: _has_no_room,
-    IneligibleReason.COPIES: _has_most_copies,
-    IneligibleReason.ROLE: lambda sight, tracked: (
-        not tracked.is_compatible(sight.step.spec)
+    IneligibleReason.HELD: _is_on_hold,
+    IneligibleReason.ROOM: _lacks_capacity,
+    IneligibleReason.COPIES: _has_max_copies,
+    IneligibleReason.ROLE: lambda context, tracked: (
+        not tracked.is_compatible(context.step.spec)
     ),
-    IneligibleReason.KEPT: lambda sight, tracked: (
-        tracked.worker in sight.reserved
+    IneligibleReason.KEPT: lambda context, tracked: (
+        tracked.worker in context.reserved
     ),
-    IneligibleReason.FAILED: lambda sight, tracked: (
-        sight.step.failed_workers.avoids(
+    IneligibleReason.FAILED: lambda context, tracked: (
+        context.step.failed_workers.avoids(
             tracked.worker,
-            sight.now,
+            context.now,
         )
     ),
-    IneligibleReason.TICKET: _has_no_ticket,
+    IneligibleReason.TICKET: _lacks_ticket,
 }
 
 
-class _Kind:
-    """Workers of a service that are alike: of one size, with the same labels.
+class _WorkerGroup:
+    """Workers of a service with the same capacity and labels.
 
     Parameters
     ----------
@@ -155,147 +160,153 @@
     """
 
     def __init__(self, capacity: Size, labels: tuple[str, ...]) -> None:
-        """Start without workers."""
+        """Create a group without workers."""
         self._capacity = capacity
         self._labels = labels
-        self.open_by_worker: dict[WorkerId, TrackedWorker] = {}
-        self.closed: list[tuple[TrackedWorker, IneligibleReason]] = []
+        self.accepting_by_worker: dict[WorkerId, TrackedWorker] = {}
+        self.not_accepting: list[tuple[TrackedWorker, IneligibleReason]] = []
 
     def __len__(self) -> int:
-        """Return how many workers are of the kind."""
-        return len(self.open_by_worker) + len(self.closed)
+        """Return the number of workers in the group."""
+        return len(self.accepting_by_worker) + len(self.not_accepting)
 
     def matches_worker(self, spec: StepSpec) -> bool:
-        """Whether an idle worker of the kind could run a step's tasks."""
+        """Whether an idle worker of the group could run a step's tasks."""
         if spec.label and spec.label not in self._labels:
             return False
         return spec.charged.fits(self._capacity)
 
     def add(self, tracked: TrackedWorker, now: Seconds) -> None:
-        """Add a worker, with what closes it if anything does."""
+        """Add a worker, with the reason if it accepts no work."""
         if tracked.accepts_work(now):
-            self.open_by_worker[tracked.worker] = tracked
+            self.accepting_by_worker[tracked.worker] = tracked
             return
-        closing = next(
-            obstacle
-            for obstacle, holds in _TEST_BY_CLOSING.items()
-            if holds(tracked, now)
+        general_reason = next(
+            reason
+            for reason, applies in _CHECK_BY_GENERAL_REASON.items()
+            if applies(tracked, now)
         )
-        self.closed.append((tracked, closing))
+        self.not_accepting.append((tracked, general_reason))
 
 
 class FleetEligibility:
-    """Tells what keeps workers from steps.
+    """Determines why workers are not eligible for steps.
 
     Parameters
     ----------
-    every : iterable of TrackedWorker
+    workers : iterable of TrackedWorker
         Workers of all services.
     reserved : frozenset of str
-        Workers that are kept for some steps.
+        Workers that are reserved for some steps.
     now : float
-        On the owner's steady clock, seconds.
+        On the owner's monotonic clock, seconds.
     """
 
     def __init__(
         self,
-        every: Iterable[TrackedWorker],
+        workers: Iterable[TrackedWorker],
         reserved: frozenset[WorkerId],
         now: Seconds,
     ) -> None:
-        """Look at no worker yet."""
-        self._every = every
-        self._kept = reserved
+        """Store the arguments; workers are examined on first use."""
+        self._workers = workers
+        self._reserved = reserved
         self._now = now
 
-    def of(self, step: StepState) -> EligibilitySummary:
-        """Return what keeps each worker of a step's service from it."""
+    def summarize(self, step: StepState) -> EligibilitySummary:
+        """Return the eligibility of a service's workers for a step."""
         service = step.job.queue.service
         counts: Counter[IneligibleReason] = Counter()
         idle: dict[WorkerId, IneligibleReason] = {}
         examined = 0
-        sight = _Sight(step, self._kept, self._now)
-        for kind in self._kinds_by_service[service]:
-            if not kind.matches_worker(step.spec):
-                counts[IneligibleReason.UNSUITED] += len(kind)
+        context = _CheckContext(step, self._reserved, self._now)
+        for group in self._groups_by_service[service]:
+            if not group.matches_worker(step.spec):
+                counts[IneligibleReason.UNSUITED] += len(group)
                 continue
-            counts.update(closing for _, closing in kind.closed)
-            idle.update(_idle_of_closed(step, kind))
-            permitted = _permitted(step, kind, counts)
+            counts.update(
+                general_reason for _, general_reason in group.not_accepting
+            )
+            idle.update(_idle_not_accepting(step, group))
+            permitted = _permitted(step, group, counts)
             examined += len(permitted)
             for tracked in permitted:
-                obstacle = _obstacle(sight, tracked)
-                counts[obstacle] += 1
-                if obstacle is not IneligibleReason.ROOM:
-                    idle[tracked.worker] = obstacle
-        named = heapq.nsmallest(_MOST_NAMED, idle.items(), key=itemgetter(0))
+                reason = _find_reason(context, tracked)
+                counts[reason] += 1
+                if reason is not IneligibleReason.ROOM:
+                    idle[tracked.worker] = reason
+        named = heapq.nsmallest(_MAX_NAMED, idle.items(), key=itemgetter(0))
         held = self._held_by_service[service]
         return EligibilitySummary(+counts, dict(named), held, examined)
 
     @cached_property
-    def _kinds_by_service(self) -> defaultdict[ServiceName, list[_Kind]]:
-        kind_by_need: dict[
+    def _groups_by_service(
+        self,
+    ) -> defaultdict[ServiceName, list[_WorkerGroup]]:
+        group_by_key: dict[
             tuple[ServiceName, Size, tuple[str, ...]],
-            _Kind,
+            _WorkerGroup,
         ] = {}
-        for tracked in self._every:
+        for tracked in self._workers:
             entry = tracked.entry
-            need = entry.service, entry.capacity, entry.labels
-            kind = kind_by_need.get(need)
-            if kind is None:
-                kind = _Kind(entry.capacity, entry.labels)
-                kind_by_need[need] = kind
-            kind.add(tracked, self._now)
-        kinds_by_service: defaultdict[ServiceName, list[_Kind]] = defaultdict(
-            list
+            key = entry.service, entry.capacity, entry.labels
+            group = group_by_key.get(key)
+            if group is None:
+                group = _WorkerGroup(entry.capacity, entry.labels)
+                group_by_key[key] = group
+            group.add(tracked, self._now)
+        groups_by_service: defaultdict[ServiceName, list[_WorkerGroup]] = (
+            defaultdict(list)
         )
-        for (service, _, _), kind in kind_by_need.items():
-            kinds_by_service[service].append(kind)
-        return kinds_by_service
+        for (service, _, _), group in group_by_key.items():
+            groups_by_service[service].append(group)
+        return groups_by_service
 
     @cached_property
     def _held_by_service(self) -> Counter[ServiceName]:
         return Counter(
             tracked.entry.service
-            for tracked in self._every
+            for tracked in self._workers
             if tracked.held_by_step
         )
 
 
-def _obstacle(sight: _Sight, tracked: TrackedWorker) -> IneligibleReason:
-    for obstacle, holds in _TEST_BY_OBSTACLE.items():
-        if holds(sight, tracked):
-            return obstacle
+def _find_reason(
+    context: _CheckContext, tracked: TrackedWorker
+) -> IneligibleReason:
+    for reason, applies in _CHECK_BY_STEP_REASON.items():
+        if applies(context, tracked):
+            return reason
     return IneligibleReason.NONE
 
 
 def _permitted(
     step: StepState,
-    kind: _Kind,
+    group: _WorkerGroup,
     counts: Counter[IneligibleReason],
 ) -> list[TrackedWorker]:
-    """Return the open workers that are permitted, and count the others."""
-    open_by_worker = kind.open_by_worker
+    """Return permitted workers that accept work, count the others."""
+    accepting_by_worker = group.accepting_by_worker
     if step.job.queue.advice is None:
-        return list(open_by_worker.values())
+        return list(accepting_by_worker.values())
     permits = step.permits
-    good = open_by_worker.keys() & permits.permitted
-    not_asked = len(open_by_worker.keys() - permits.checked)
+    permitted_ids = accepting_by_worker.keys() & permits.permitted
+    not_asked = len(accepting_by_worker.keys() - permits.checked)
     counts[IneligibleReason.NOT_ASKED] += not_asked
     counts[IneligibleReason.NOT_PERMITTED] += (
-        len(open_by_worker) - not_asked - len(good)
+        len(accepting_by_worker) - not_asked - len(permitted_ids)
     )
-    return [open_by_worker[worker] for worker in good]
+    return [accepting_by_worker[worker] for worker in permitted_ids]
 
 
-def _idle_of_closed(
+def _idle_not_accepting(
     step: StepState,
-    kind: _Kind,
+    group: _WorkerGroup,
 ) -> Iterator[tuple[WorkerId, IneligibleReason]]:
-    """Yield the closed workers that are permitted and not full."""
+    """Yield permitted workers with capacity that accept no work."""
     advised = step.job.queue.advice is not None
-    for tracked, closing in kind.closed:
+    for tracked, general_reason in group.not_accepting:
         if advised and tracked.worker not in step.permits.permitted:
             continue
         if step.spec.charged.fits(tracked.free + tracked.held):
-            yield tracked.worker, closing
+            yield tracked.worker, general_reason
--- a/orchidrail/shard/fair_shares.py
+++ b/orchidrail/shard/fair_shares.py
@@ -1,7 +1,8 @@
-"""Who goes first when there is not room for all: tenants by their weights.
+"""Fair shares: which jobs take precedence when capacity is scarce.
 
-A tenant is owed as many jobs a second as its weight says. What it sends beyond
-that is taken where there is room, and starts behind all that is owed.
+The fair share of a tenant is as many jobs a second as its weight. Jobs over the
+fair share are accepted while there is capacity, and start after all jobs within
+the shares.
 """
 
 from __future__ import annotations
@@ -12,15 +13,16 @@
 from orchidrail.types import Seconds, TenantId
 from orchidrail.work.tenant import Tenant
 
-#: Seconds of its rate that a tenant may send at once, and jobs besides: callers
-#: come by chance, so a clump of a few says nothing of a small tenant's rate (on
-#: a modelled day, seven within 1.2 s of one that sends one a second).
-_BURST: Seconds = 3.0
-_CLUMP = 8
+#: A tenant may submit at once its rate times this many seconds, and
+#: `_BURST_JOBS` jobs besides. Callers arrive at random, so a cluster of a few
+#: jobs says little about a small tenant's rate: on a simulated day, a tenant of
+#: one job a second submitted seven within 1.2 s.
+_BURST_DURATION: Seconds = 3.0
+_BURST_JOBS = 8
 
 
 class FairShares:
-    """Counts what each tenant hands in against what it is owed.
+    """Compares what each tenant submits with its fair share.
 
     Parameters
     ----------
@@ -36,18 +38,18 @@
     """
 
     def __init__(self, clock: Callable[[], Seconds]) -> None:
-        """Owe everybody a burst: an owner before may have served it."""
+        """Grant each tenant a full burst; a previous owner may have done so."""
         self._clock = clock
         self._rate_by_tenant: dict[TenantId, RateLimit] = {}
 
     def take(self, tenant: Tenant) -> bool:
-        """Count a job; tell whether it is owed."""
+        """Count a job; return whether it is within the fair share."""
         if not tenant.name:
             return True
         return self._rate_of(tenant).take(self._clock())
 
     def time_until_within_share(self, tenant: Tenant) -> Seconds:
-        """Return after how long the next job of a tenant is owed, 0 for now."""
+        """Return the seconds until a tenant's next job is within its share."""
         if not tenant.name:
             return 0
         return self._rate_of(tenant).ready_in(self._clock())
@@ -55,7 +57,7 @@
     def _rate_of(self, tenant: Tenant) -> RateLimit:
         rate = self._rate_by_tenant.get(tenant.name)
         if rate is None or rate.rate != tenant.weight:
-            burst = tenant.weight * _BURST + _CLUMP
+            burst = tenant.weight * _BURST_DURATION + _BURST_JOBS
             rate = RateLimit(tenant.weight, burst)
             self._rate_by_tenant[tenant.name] = rate
         return rate
--- a/orchidrail/shard/headroom.py
+++ b/orchidrail/shard/headroom.py
@@ -1,8 +1,8 @@
-"""Room that is kept free for urgent work which is about to come.
+"""Headroom: capacity left free for urgent work to come.
 
-Urgent tasks are short and come in bursts, and their objective leaves no time
-to wait until something ends. Work that has time leaves as much room as urgent
-work used at its last peak.
+Urgent tasks are short and arrive in bursts, and their objective leaves no time
+to wait until other work ends. Work that can wait leaves as much capacity free
+as urgent work used at its recent peak.
 """
 
 from __future__ import annotations
@@ -13,24 +13,26 @@
 from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import Seconds, ServiceName
 
-#: Most of the service's open room that is ever kept.
-_MOST_SHARE = 0.25
+#: Maximum share of a service's usable capacity that is kept as headroom.
+_MAX_SHARE = 0.25
 
 
 class Headroom:
-    """Follows what urgent work uses of each service's workers."""
+    """Tracks the capacity that urgent work uses in each service."""
 
     def __init__(self) -> None:
-        """Start without a peak."""
+        """Start with a peak of zero."""
         self._peak_by_service: dict[ServiceName, DecayingPeak] = defaultdict(
             DecayingPeak
         )
         self._now: Seconds = 0
 
-    def note(self, open_books: list[TrackedWorker], now: Seconds) -> None:
-        """Take what urgent work uses now."""
+    def record_usage(
+        self, accepting: list[TrackedWorker], now: Seconds
+    ) -> None:
+        """Record what urgent work uses now."""
         used: dict[ServiceName, int] = defaultdict(int)
-        for tracked in open_books:
+        for tracked in accepting:
             used[tracked.entry.service] += tracked.urgent_millicores
         self._now = now
         for service, millicores in used.items():
@@ -41,18 +43,18 @@
         service: ServiceName,
         usable: list[TrackedWorker],
     ) -> int:
-        """Return how many millicores other work may still take.
+        """Return how many millicores other work may still use.
 
         Parameters
         ----------
         usable : list of TrackedWorker
-            The open workers of the service.
+            The workers of the service that accept work.
         """
-        free, whole, used = 0, 0, 0
+        free, total, used = 0, 0, 0
         for tracked in usable:
             free += tracked.free.millicores
-            whole += tracked.entry.capacity.millicores
+            total += tracked.entry.capacity.millicores
             used += tracked.urgent_millicores
         last_peak = self._peak_by_service[service].at(self._now)
-        peak = min(last_peak, _MOST_SHARE * whole)
+        peak = min(last_peak, _MAX_SHARE * total)
         return int(free - max(0, peak - used))
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -1,4 +1,4 @@
-"""What an owner tells of its load: gauges, and a log line now and then."""
+"""Periodic report of an owner's load: gauges and a log line."""
 
 from __future__ import annotations
 
@@ -17,13 +17,13 @@
 from orchidrail.work.wait_times import WaitReason
 
 _log = structlog.get_logger()
-_REPORT_EVERY: Seconds = 1.0
+_REPORT_INTERVAL: Seconds = 1.0
 _MILLIS = 1000
 _RESOURCES = ('millicores', 'megabytes', 'accelerators')
 
 
 class LoadReport:
-    """Tells of a shard's load now and then, for those who look back.
+    """Reports a shard's load periodically, for later analysis.
 
     Parameters
     ----------
@@ -38,25 +38,25 @@
         placer: Placer,
         dispatcher: AdviceDispatcher,
     ) -> None:
-        """Start with nothing told."""
+        """Create a report that has logged nothing yet."""
         self._state = state
         self._placer = placer
         self._dispatcher = dispatcher
         self._long_waits = LongWaitReporter(state)
-        self._held_back_gangs = BlockedGangs(state)
+        self._blocked_gangs = BlockedGangs(state)
 
     async def run(self) -> None:
         """Report until cancelled."""
         while True:
-            await asyncio.sleep(_REPORT_EVERY)
-            self._note_lost_workers()
+            await asyncio.sleep(_REPORT_INTERVAL)
+            self._record_lost_workers()
             self.report()
 
     def report(self) -> None:
-        """Tell of the load as it is now."""
+        """Log the current load."""
         state = self._state
         now = state.clock()
-        every = list(state.tracked_by_worker.values())
+        tracked_workers = list(state.tracked_by_worker.values())
         work = self._placer.waiting_work()
         waiting_tasks = self._placer.waiting_tasks()
         update_worker_gauges(state, waiting_tasks)
@@ -64,47 +64,52 @@
         self._long_waits.report(work)
         oldest_advice_request = state.pending_advice.longest_queue_wait()
         state.metrics.oldest_advice_request.set(oldest_advice_request)
-        free = sum(tracked.free.millicores for tracked in every)
+        free = sum(tracked.free.millicores for tracked in tracked_workers)
         _log.info(
             'shard load',
             jobs=len(state.job_by_id),
             waiting_tasks=waiting_tasks,
             waiting_steps=len(work.steps),
             asking=sum(step.permits.calls_in_flight for step in work.steps),
-            workers=len(every),
-            open_workers=sum(tracked.accepts_work(now) for tracked in every),
+            workers=len(tracked_workers),
+            open_workers=sum(
+                tracked.accepts_work(now) for tracked in tracked_workers
+            ),
             free_cores=free // _MILLIS,
             unconfirmed=round(state.writer.unconfirmed_for(), 3),
             oldest_question=round(oldest_advice_request, 3),
             **self._dispatcher.load(),
         )
 
-    def _note_lost_workers(self) -> None:
-        """Add up and tell, once a report, what waits for lost workers."""
-        held_up = [
+    def _record_lost_workers(self) -> None:
+        """Record jobs on unreachable workers, and log blocked gangs.
+
+        Called once per report, so each call adds one interval to their waits.
+        """
+        blocked = [
             job
             for job in self._state.job_by_id.values()
             if any(map(self._state.is_unreachable, job.placed_on()))
         ]
-        for job in held_up:
-            job.wait_times.add(WaitReason.LOST_WORKER, _REPORT_EVERY)
-        self._held_back_gangs.report(held_up)
+        for job in blocked:
+            job.wait_times.add(WaitReason.LOST_WORKER, _REPORT_INTERVAL)
+        self._blocked_gangs.report(blocked)
 
 
 def update_worker_gauges(state: ShardState, waiting_tasks: int) -> None:
-    """Set the gauges of workers and of what waits for them."""
+    """Set the gauges of workers and of tasks that wait for them."""
     metrics = state.metrics
     now = state.clock()
-    every = state.tracked_by_worker.values()
-    open_count = sum(tracked.accepts_work(now) for tracked in every)
+    tracked_workers = state.tracked_by_worker.values()
+    open_count = sum(tracked.accepts_work(now) for tracked in tracked_workers)
     metrics.workers.labels('open').set(open_count)
-    metrics.workers.labels('closed').set(len(every) - open_count)
+    metrics.workers.labels('closed').set(len(tracked_workers) - open_count)
     metrics.waiting_tasks.set(waiting_tasks)
     metrics.journal_unconfirmed.set(state.writer.unconfirmed_for())
 
 
 def update_tenant_gauges(state: ShardState) -> None:
-    """Set the gauges of what tenants run, may run, and wait for."""
+    """Set the gauges of each tenant's running work, limits and queue."""
     metrics = state.metrics
     tenant_by_name: dict[TenantId, Tenant] = {}
     waiting: Counter[TenantId] = Counter()
@@ -116,12 +121,12 @@
         label = metrics.tenant_label(name)
         metrics.tenant_waiting.labels(label).set(waiting[name])
         used = state.ledger.used(name)
-        most = state.ledger.current(tenant).maximum
-        for resource, taken, limit in zip(
+        limits = state.ledger.current(tenant).maximum
+        for resource, amount, limit in zip(
             _RESOURCES,
             used,
-            most,
+            limits,
             strict=True,
         ):
-            metrics.tenant_running.labels(label, resource).set(taken)
+            metrics.tenant_running.labels(label, resource).set(amount)
             metrics.tenant_limit.labels(label, resource).set(limit)
--- a/orchidrail/shard/long_waits.py
+++ b/orchidrail/shard/long_waits.py
@@ -1,6 +1,7 @@
-"""Tells of tasks that have waited for long, and what keeps workers from them.
+"""Logs tasks that have waited for long, and why workers are ineligible.
 
-A job that lasts is never over, so what its tasks wait for is told meanwhile.
+A long-running job never ends, so its wait reasons have to be logged while it
+runs.
 """
 
 from __future__ import annotations
@@ -20,17 +21,17 @@
 from orchidrail.work.wait_times import WaitReason
 
 _log = structlog.get_logger()
-#: Waits below this are usual where advice is needed.
-_LONG: Seconds = 2.0
-#: A step's wait is told again after this long.
-_TOLD_EVERY: Seconds = 4.0
-#: Steps told of at one time, those that have waited longest.
-_MOST_TOLD = 10
-#: Workers looked at one by one after which no other step is told of: passes
-#: wait meanwhile.
-_MOST_EXAMINED = 5000
-#: Workers that answer are heard more often.
-_SILENT: Seconds = 2.0
+#: Shorter waits are normal where advice is needed.
+_MIN_LOGGED_WAIT: Seconds = 2.0
+#: Minimum interval between two log lines on the same step.
+_LOG_INTERVAL: Seconds = 4.0
+#: Maximum number of steps logged in one report, longest waits first.
+_MAX_LOGGED_STEPS = 10
+#: No further step is logged once this many workers have been examined one by
+#: one, since placement passes are delayed meanwhile.
+_MAX_EXAMINED = 5000
+#: Silence that is logged; responsive workers answer more often.
+_MIN_LOGGED_SILENCE: Seconds = 2.0
 
 
 class TaskStart(Enum):
@@ -41,16 +42,16 @@
 
 
 class WaitingWork(NamedTuple):
-    """What waits in a shard.
+    """Waiting steps of a shard, and findings of the last pass.
 
     Parameters
     ----------
     steps : list of StepState
-        All that have tasks whose turn has come.
+        All that have startable tasks.
     reserved : frozenset of str
-        Workers that were kept for some step in the last pass.
+        Workers that were reserved for some step in the last pass.
     reason_by_job : dict
-        What the jobs wait for.
+        Why each job waits.
     """
 
     steps: list[StepState]
@@ -59,7 +60,7 @@
 
 
 class LongWait(NamedTuple):
-    """A step some tasks of which have waited for long."""
+    """The longest wait among the tasks of a step."""
 
     step: StepState
     seconds: Seconds
@@ -67,7 +68,7 @@
 
 
 class LongWaitReporter:
-    """Follows the waits of a shard's steps.
+    """Tracks and logs the waits of a shard's steps.
 
     Parameters
     ----------
@@ -75,48 +76,48 @@
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Start with nothing told."""
+        """Create a reporter that has logged nothing yet."""
         self._state = state
-        self._told_at_by_step: dict[str, Seconds] = {}
-        #: Queues whose gauge was set; it stays until it is set again.
-        self._gauged: set[QueueName] = set()
+        self._logged_at_by_step: dict[str, Seconds] = {}
+        #: Queues whose gauge was set; it keeps its value until set again.
+        self._gauged_queues: set[QueueName] = set()
 
     def report(self, work: WaitingWork) -> None:
         """Log the longest waits and set the gauges."""
         now = self._state.clock()
-        waits = [_wait_of(step, now) for step in work.steps]
-        self._gauge(waits)
-        long = sorted(
-            (wait for wait in waits if wait.seconds >= _LONG),
+        waits = [_measure_wait(step, now) for step in work.steps]
+        self._update_gauges(waits)
+        long_waits = sorted(
+            (wait for wait in waits if wait.seconds >= _MIN_LOGGED_WAIT),
             key=lambda wait: -wait.seconds,
         )
-        due = [wait for wait in long if self._is_due(wait.step, now)]
+        due = [wait for wait in long_waits if self._is_due(wait.step, now)]
         fleet = FleetEligibility(
             self._state.tracked_by_worker.values(),
             work.reserved,
             now,
         )
         examined = 0
-        for wait in due[:_MOST_TOLD]:
-            if examined >= _MOST_EXAMINED:
+        for wait in due[:_MAX_LOGGED_STEPS]:
+            if examined >= _MAX_EXAMINED:
                 break
-            self._told_at_by_step[wait.step.key] = now
-            survey = fleet.of(wait.step)
-            examined += survey.examined
-            self._tell(wait, work, survey)
-        still = {wait.step.key for wait in long}
-        for key in self._told_at_by_step.keys() - still:
-            self._told_at_by_step.pop(key)
+            self._logged_at_by_step[wait.step.key] = now
+            summary = fleet.summarize(wait.step)
+            examined += summary.examined
+            self._log_wait(wait, work, summary)
+        still_long = {wait.step.key for wait in long_waits}
+        for key in self._logged_at_by_step.keys() - still_long:
+            self._logged_at_by_step.pop(key)
 
     def _is_due(self, step: StepState, now: Seconds) -> bool:
-        told_at = self._told_at_by_step.get(step.key)
-        return told_at is None or now - told_at >= _TOLD_EVERY
+        logged_at = self._logged_at_by_step.get(step.key)
+        return logged_at is None or now - logged_at >= _LOG_INTERVAL
 
-    def _tell(
+    def _log_wait(
         self,
         wait: LongWait,
         work: WaitingWork,
-        survey: EligibilitySummary,
+        summary: EligibilitySummary,
     ) -> None:
         step = wait.step
         reason = work.reason_by_job.get(step.job.job_id)
@@ -128,15 +129,15 @@
             tasks=wait.tasks,
             seconds=round(wait.seconds, 3),
             reason=reason.value if reason else '',
-            starts=_start_of(step).value,
+            starts=_task_start(step).value,
             asking=step.permits.calls_in_flight,
-            **self._question(step),
-            **self._silence(step),
-            **_show(survey),
+            **self._describe_advice_request(step),
+            **self._describe_silence(step),
+            **_describe_eligibility(summary),
         )
 
-    def _question(self, step: StepState) -> dict[str, object]:
-        """Return for how long and for what a step's oldest question waits."""
+    def _describe_advice_request(self, step: StepState) -> dict[str, object]:
+        """Return the age and state of a step's oldest advice request."""
         oldest = self._state.pending_advice.oldest_for_step(step.key)
         if oldest is None:
             return {}
@@ -147,16 +148,20 @@
             'question_in_state': round(now - oldest.state_since, 3),
         }
 
-    def _silence(self, step: StepState) -> dict[str, object]:
+    def _describe_silence(self, step: StepState) -> dict[str, object]:
         silence = longest_silence(self._state, step)
-        return {'unheard': round(silence, 3)} if silence > _SILENT else {}
+        return (
+            {'unheard': round(silence, 3)}
+            if silence > _MIN_LOGGED_SILENCE
+            else {}
+        )
 
-    def _gauge(self, waits: Iterable[LongWait]) -> None:
+    def _update_gauges(self, waits: Iterable[LongWait]) -> None:
         """Set the longest wait of each queue, 0 where nothing waits."""
         jobs = self._state.job_by_id.values()
-        self._gauged.update(job.queue.name for job in jobs)
+        self._gauged_queues.update(job.queue.name for job in jobs)
         longest_by_queue: dict[QueueName, Seconds] = defaultdict(float)
-        longest_by_queue.update(dict.fromkeys(self._gauged, 0))
+        longest_by_queue.update(dict.fromkeys(self._gauged_queues, 0))
         for wait in waits:
             name = wait.step.job.queue.name
             longest = max(longest_by_queue[name], wait.seconds)
@@ -168,25 +173,25 @@
             )
 
 
-def _start_of(step: StepState) -> TaskStart:
+def _task_start(step: StepState) -> TaskStart:
     return TaskStart.GANG if step.spec.gang else TaskStart.ALONE
 
 
-def _show(survey: EligibilitySummary) -> dict[str, object]:
+def _describe_eligibility(summary: EligibilitySummary) -> dict[str, object]:
     return {
-        'held': survey.held,
+        'held': summary.held,
         'idle': {
-            worker: obstacle.value
-            for worker, obstacle in survey.reason_by_idle_worker.items()
+            worker: reason.value
+            for worker, reason in summary.reason_by_idle_worker.items()
         },
         'workers': {
-            obstacle.value: count
-            for obstacle, count in survey.count_by_reason.most_common()
+            reason.value: count
+            for reason, count in summary.count_by_reason.most_common()
         },
     }
 
 
-def _wait_of(step: StepState, now: Seconds) -> LongWait:
+def _measure_wait(step: StepState, now: Seconds) -> LongWait:
     tasks = step.startable()
     since = [
         task.waiting_since for task in tasks if task.waiting_since is not None
--- a/orchidrail/shard/placement_pass.py
+++ b/orchidrail/shard/placement_pass.py
@@ -1,4 +1,4 @@
-"""One pass over the waiting steps, and what it tells the next one."""
+"""State of one placement pass, and what carries over to the next one."""
 
 from __future__ import annotations
 
@@ -24,36 +24,41 @@
 from orchidrail.work.step import StepState, Task
 from orchidrail.work.wait_times import WaitReason
 
-#: Steps that wait with room kept free for them, most urgent first.
-_EARMARKS = 2
-#: For how long the workers chosen for a step are kept: runs end on a cell of
-#: hundreds of workers each few ms, and each choice looks at all that run.
-_EARMARKED_FOR: Seconds = 0.1
-#: Longest time for which a step is passed over: a bound on the harm of a change
-#: that nobody thought of, a sixth of the time that work may stand still.
-_BLOCKED_FOR: Seconds = 0.5
+#: Maximum number of steps with reserved workers, highest rank first.
+_MAX_RESERVING_STEPS = 2
+#: How long a choice of reserved workers is used. With hundreds of workers a run
+#: ends every few ms, and each choice examines all running tasks.
+_RESERVATION_DURATION: Seconds = 0.1
+#: Maximum time for which a blocked step is skipped. It limits the damage if a
+#: change that would unblock the step goes undetected, and is a sixth of the 3 s
+#: for which work may make no progress.
+_MAX_SKIP_DURATION: Seconds = 0.5
 
 
-class _Blocked(NamedTuple):
-    """Under what a step found no room: while it holds, there is none."""
+class _BlockingConditions(NamedTuple):
+    """Conditions under which a step found no free capacity.
+
+    The step stays blocked while they hold.
+    """
 
     checked: int
     permitted: int
-    asking: int
-    #: Workers that were kept from the step.
+    calls_in_flight: int
+    #: Reserved workers that the step could not use.
     reserved: frozenset[WorkerId]
-    #: Whether it had waited too long, and whether also for workers that rest.
+    #: Whether the step was overdue, and whether it could use quarantined
+    #: workers.
     overdue: bool
-    may_use_resting: bool
+    may_use_quarantined: bool
 
 
 class WaitingStep:
-    """A step with tasks whose turn has come.
+    """A step with startable tasks.
 
-    A cell near its limit has many steps that wait for room, and in each pass
-    few workers that have more room than before. A step that found none is
-    looked at again only when one of the workers that may run it has more, or
-    when something else has changed for it.
+    Near full load, many steps wait for capacity, and in each pass only a few
+    workers have more free capacity than before. A step that found none is
+    examined again only if one of its permitted workers has more, or if another
+    of the blocking conditions has changed.
     """
 
     def __init__(
@@ -62,199 +67,202 @@
         step: StepState,
         tasks: list[Task],
     ) -> None:
-        """Start with a step that was not looked at yet."""
+        """Create a step that has not been examined yet."""
         self.timing = timing
         self.step = step
         self.tasks = tasks
-        self._blocked: _Blocked | None = None
+        self._blocked: _BlockingConditions | None = None
         self._blocked_until: Seconds = 0
-        self._earmarked: set[WorkerId] = set()
-        self._earmarked_until: Seconds = 0
+        self._reserved: set[WorkerId] = set()
+        self._reserved_until: Seconds = 0
 
-    def has_slack(self, this_pass: Pass) -> bool:
-        """Whether the step can leave room for urgent work that is to come.
+    def has_slack(self, this_pass: PlacementPass) -> bool:
+        """Whether the step can leave the headroom to urgent work.
 
-        The estimate of a task that lasts says for how long it may be at work,
-        not how long it may wait.
+        The estimate of a long-running task says how long it may run, not how
+        long it may wait.
         """
         if not self.timing.has_slack(this_pass.wall):
             return False
         return not this_pass.workers.overdue(self.step)
 
-    def rank(self, this_pass: Pass) -> Rank:
-        """Return the rank of the step in a pass; the least goes first.
+    def rank(self, this_pass: PlacementPass) -> Rank:
+        """Return the rank of the step in a pass; the lowest goes first.
 
-        What is beyond its tenant's share stays behind what is owed, however
-        long it has waited.
+        Work over its tenant's fair share stays behind work within the share, no
+        matter how long it has waited.
         """
-        usual = self.timing.rank(this_pass.wall)
+        regular = self.timing.rank(this_pass.wall)
         if self.timing.over_share:
-            return usual
+            return regular
         since = this_pass.workers.overdue_since(self.step)
-        return usual if since is None else min(usual, overdue_rank(since))
+        return regular if since is None else min(regular, overdue_rank(since))
 
-    def blocked(self, this_pass: Pass) -> bool:
-        """Whether it is known that the step finds no room now."""
+    def blocked(self, this_pass: PlacementPass) -> bool:
+        """Whether the step is known to find no free capacity now."""
         if self._blocked is None or this_pass.now >= self._blocked_until:
             return False
-        if self._blocked != self._standing(this_pass):
+        if self._blocked != self._blocking_conditions(this_pass):
             return False
         size = self.step.spec.charged
         advised = self.step.job.queue.advice is not None
-        good = self.step.permits.permitted
+        permitted_ids = self.step.permits.permitted
         return not any(
             size.fits(tracked.free)
             for tracked in this_pass.with_more_free
-            if not advised or tracked.worker in good
+            if not advised or tracked.worker in permitted_ids
         )
 
-    def note_no_room(self, this_pass: Pass) -> None:
-        """Take that none of the step's tasks found room.
+    def mark_blocked(self, this_pass: PlacementPass) -> None:
+        """Record that none of the step's tasks found capacity.
 
-        A step is looked at in each pass all the same if something may help it
-        that its standing does not show: workers not asked about yet, another
-        worker than those on which it failed, room beside tasks of other roles.
+        A step is still examined in each pass if something that the blocking
+        conditions do not cover may unblock it: workers that have not been
+        checked yet, a worker other than those on which it failed, capacity
+        beside tasks of another QoS class.
         """
         step = self.step
-        # What keeps workers must do so in each pass.
-        looked_at = (
+        # A step with reservations has to renew them in each pass.
+        examined_anyway = (
             this_pass.needs_reservation(step)
             or bool(step.failed_workers)
             or role_of(step.spec) is not TaskRole.PLAIN
-            or this_pass.may_ask(step)
+            or this_pass.may_request_advice(step)
         )
-        if not looked_at:
-            self._blocked = self._standing(this_pass)
-            self._blocked_until = this_pass.now + _BLOCKED_FOR
+        if not examined_anyway:
+            self._blocked = self._blocking_conditions(this_pass)
+            self._blocked_until = this_pass.now + _MAX_SKIP_DURATION
 
     def choose_reserved_workers(
-        self, missing: int, this_pass: Pass
+        self, missing: int, this_pass: PlacementPass
     ) -> set[WorkerId]:
-        """Return the workers to keep for the step, chosen now and then."""
-        if this_pass.now >= self._earmarked_until:
+        """Return the workers to reserve, chosen again when outdated."""
+        if this_pass.now >= self._reserved_until:
             candidates = this_pass.workers.permitted_for(self.step)
-            self._earmarked = choose_reserved_workers(
+            self._reserved = choose_reserved_workers(
                 self.step,
                 missing,
                 candidates,
                 this_pass.now,
             )
-            self._earmarked_until = this_pass.now + _EARMARKED_FOR
-        return self._earmarked
+            self._reserved_until = this_pass.now + _RESERVATION_DURATION
+        return self._reserved
 
-    def _standing(self, this_pass: Pass) -> _Blocked:
+    def _blocking_conditions(
+        self, this_pass: PlacementPass
+    ) -> _BlockingConditions:
         permits = self.step.permits
-        return _Blocked(
+        return _BlockingConditions(
             len(permits.checked),
             len(permits.permitted),
             permits.calls_in_flight,
             this_pass.workers.reserved,
             this_pass.workers.overdue(self.step),
-            this_pass.workers.may_use_resting(self.step),
+            this_pass.workers.may_use_quarantined(self.step),
         )
 
 
 class FreeCapacitySnapshot:
-    """What was free on each worker at the end of the last pass."""
+    """Free capacity of each worker at the end of the last pass."""
 
     def __init__(self) -> None:
-        """Know of no worker."""
+        """Create an empty snapshot."""
         self._free_by_worker: dict[WorkerId, Size] = {}
 
     def with_more_free(
-        self, open_books: list[TrackedWorker]
+        self, accepting: list[TrackedWorker]
     ) -> list[TrackedWorker]:
-        """Return the workers that have more room than then, or are new."""
+        """Return workers that are new or have more free capacity."""
         before = self._free_by_worker
         return [
             tracked
-            for tracked in open_books
+            for tracked in accepting
             if tracked.worker not in before
             or not tracked.free.fits(before[tracked.worker])
         ]
 
-    def note(self, open_books: list[TrackedWorker]) -> None:
-        """Take that a pass has ended."""
+    def update(self, accepting: list[TrackedWorker]) -> None:
+        """Record the free capacity at the end of a pass."""
         self._free_by_worker = {
-            tracked.worker: tracked.free for tracked in open_books
+            tracked.worker: tracked.free for tracked in accepting
         }
 
 
-class Pass:
-    """What one pass over the waiting steps has left and found out."""
+class PlacementPass:
+    """Capacity that is left in one placement pass, and its findings."""
 
     def __init__(
         self,
-        open_books: list[TrackedWorker],
+        accepting: list[TrackedWorker],
         now: Seconds,
         wall: Seconds,
         headroom: Headroom,
         with_more_free: list[TrackedWorker],
-        resting: list[TrackedWorker],
+        quarantined: list[TrackedWorker],
     ) -> None:
-        """Start with all open workers, and with those that rest."""
+        """Start with all workers that accept work, and quarantined ones."""
         self.with_more_free = with_more_free
         self.now = now
         self.wall = wall
-        self.workers = CandidateWorkers(open_books, now, resting)
+        self.workers = CandidateWorkers(accepting, now, quarantined)
         self.reason_by_job: dict[JobId, WaitReason] = {}
         self._headroom = headroom
-        self._left_by_need: dict[tuple[ServiceName, str], int] = {}
-        self._crowded_by_service: dict[ServiceName, bool] = {}
-        self._earmarks = 0
-        #: Tenants of which a gang waits for most of their limit.
+        self._available_by_label: dict[tuple[ServiceName, str], int] = {}
+        self._half_in_use_by_service: dict[ServiceName, bool] = {}
+        self._reserving_steps = 0
+        #: Tenants with a gang that waits for most of their limit.
         self.tenants_saving_limit: set[TenantId] = set()
 
     def available_to_others(self, step: StepState) -> int:
-        """Return the millicores that are not kept for urgent work."""
-        need = step.job.queue.service, step.spec.label
-        left = self._left_by_need.get(need)
-        if left is None:
+        """Return the millicores not reserved as headroom for urgent work."""
+        key = step.job.queue.service, step.spec.label
+        available = self._available_by_label.get(key)
+        if available is None:
             with_label = self.workers.with_label(step)
-            left = self._headroom.available_to_others(need[0], with_label)
-            self._left_by_need[need] = left
-        return left
+            available = self._headroom.available_to_others(key[0], with_label)
+            self._available_by_label[key] = available
+        return available
 
-    def note_placed(self, step: StepState, tasks: int) -> None:
-        """Take that some tasks of a step have found room.
+    def record_placed(self, step: StepState, tasks: int) -> None:
+        """Record that tasks of a step were placed.
 
-        Urgent work takes from the room that is kept for it.
+        Urgent work uses the headroom, so it leaves the rest unchanged.
         """
         if step.job.urgent:
             return
         taken = tasks * step.spec.charged.millicores
-        for need in self._left_by_need:
-            if need[0] == step.job.queue.service:
-                self._left_by_need[need] -= taken
+        for key in self._available_by_label:
+            if key[0] == step.job.queue.service:
+                self._available_by_label[key] -= taken
 
     def reserve_workers(self, waiting: WaitingStep, missing: int) -> None:
-        """Keep workers for what a step still misses, if room is scarce."""
-        if missing <= 0 or self._earmarks >= _EARMARKS:
+        """Reserve workers for missing tasks if capacity is scarce."""
+        if missing <= 0 or self._reserving_steps >= _MAX_RESERVING_STEPS:
             return
-        if not self._crowded(waiting.step.job.queue.service):
+        if not self._half_in_use(waiting.step.job.queue.service):
             return
         if not self.needs_reservation(waiting.step):
             return
         reserved = waiting.choose_reserved_workers(missing, self)
         if reserved:
-            self._earmarks += 1
+            self._reserving_steps += 1
             self.workers.reserve(reserved)
 
-    def may_ask(self, step: StepState) -> bool:
-        """Whether a step has workers to ask about and does not ask yet."""
+    def may_request_advice(self, step: StepState) -> bool:
+        """Whether unchecked workers exist and no advice call is in flight."""
         if step.job.queue.advice is None or step.permits.calls_in_flight:
             return False
-        return bool(self.workers.unknown(step))
+        return bool(self.workers.unchecked(step))
 
     def needs_reservation(self, step: StepState) -> bool:
-        """Whether a step's tasks can't be fitted in one by one."""
+        """Whether a step's tasks cannot be placed one by one."""
         service = step.job.queue.service
         copies = self.workers.max_copies(step.spec, service)
         return needs_reservation(step.spec, copies)
 
-    def _crowded(self, service: ServiceName) -> bool:
-        found = self._crowded_by_service.get(service)
+    def _half_in_use(self, service: ServiceName) -> bool:
+        found = self._half_in_use_by_service.get(service)
         if found is None:
             found = half_in_use(self.workers.of_service(service))
-            self._crowded_by_service[service] = found
+            self._half_in_use_by_service[service] = found
         return found
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -1,4 +1,4 @@
-"""The pass that places what waits, and the questions that it needs asked."""
+"""Placement pass: assigns waiting tasks to workers and requests advice."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from orchidrail.shard.long_waits import WaitingWork
 from orchidrail.shard.placement_pass import (
     FreeCapacitySnapshot,
-    Pass,
+    PlacementPass,
     WaitingStep,
 )
 from orchidrail.shard.ranking import Rank, step_timing
@@ -25,14 +25,15 @@
 from orchidrail.work.step import StepState, Task, longest_waiting_first
 from orchidrail.work.wait_times import WaitReason
 
-#: Least time between two passes; they take at most half of all time, so that
-#: orders and looks go on beside them.
-_PACE: Seconds = 0.004
-#: Passes come at least this often, for times that fall due.
-_LOOK_EVERY: Seconds = 0.1
-#: Silence of the journal after which nothing is placed: a start waits for it,
-#: and tickets run out meanwhile. It answers in 8 ms, in 0.3 s where it is slow.
-_JOURNAL_SILENT: Seconds = 0.7
+#: Minimum pause between two passes. Passes take at most half of the time, so
+#: that orders to workers and polls proceed in between.
+_MIN_PAUSE: Seconds = 0.004
+#: Maximum interval between passes, so that elapsed timeouts are noticed.
+_MAX_PASS_INTERVAL: Seconds = 0.1
+#: No task is placed once the journal has not confirmed writes for this long: a
+#: start waits for the journal, and tickets expire meanwhile. The journal
+#: usually confirms within 8 ms, within 0.3 s when it is slow.
+_JOURNAL_TIMEOUT: Seconds = 0.7
 
 
 class Placer:
@@ -51,66 +52,68 @@
         runs: RunTracker,
         dispatcher: AdviceDispatcher,
     ) -> None:
-        """Start with nothing waiting."""
+        """Create a placer without waiting steps."""
         self._state = state
         self._runs = runs
         self._dispatcher = dispatcher
-        self._questions = AdviceRequester(state, runs, dispatcher)
+        self._advice_requester = AdviceRequester(state, runs, dispatcher)
         self._headroom = Headroom()
-        #: Steps with tasks whose turn has come, of all open jobs.
+        #: Steps with startable tasks, of all open jobs.
         self._waiting_by_job: dict[JobId, list[WaitingStep]] = {}
-        self._rooms = FreeCapacitySnapshot()
+        self._free_capacity = FreeCapacitySnapshot()
         self._due_times = DueTimes()
-        #: Of the last pass: workers kept for some step, and what jobs wait for.
-        self._kept: frozenset[WorkerId] = frozenset()
+        #: Workers reserved in the last pass, and why each job waits.
+        self._reserved: frozenset[WorkerId] = frozenset()
         self._reason_by_job: dict[JobId, WaitReason] = {}
 
     async def run(self) -> None:
-        """Place whenever something has changed."""
+        """Run a placement pass whenever something has changed."""
         while True:
             wait = min(
-                _LOOK_EVERY,
+                _MAX_PASS_INTERVAL,
                 self._due_times.wait(self._state.wall_clock()),
             )
             with contextlib.suppress(TimeoutError, asyncio.TimeoutError):
                 await asyncio.wait_for(self._state.pass_requested.wait(), wait)
             self._state.pass_requested.clear()
-            began = self._state.clock()
+            started = self._state.clock()
             self.place_all()
-            took = self._state.clock() - began
-            await asyncio.sleep(max(_PACE, took))
+            duration = self._state.clock() - started
+            await asyncio.sleep(max(_MIN_PAUSE, duration))
 
     def close(self) -> None:
-        """Give up all questions in progress."""
-        self._questions.close()
+        """Cancel all pending advice requests."""
+        self._advice_requester.close()
 
     def place_all(self) -> None:
-        """Place what has room now."""
+        """Run one placement pass."""
         self._refresh()
         now = self._state.clock()
         wall = self._state.wall_clock()
-        if self._waits_for_journal(now):
+        if self._defer_for_journal(now):
             return
-        able = [
+        candidates = [
             tracked
             for tracked in self._state.tracked_by_worker.values()
             if tracked.available
         ]
-        open_books = [
-            tracked for tracked in able if now >= tracked.quarantined_until
+        accepting = [
+            tracked
+            for tracked in candidates
+            if now >= tracked.quarantined_until
         ]
-        resting = [
-            tracked for tracked in able if now < tracked.quarantined_until
+        quarantined = [
+            tracked for tracked in candidates if now < tracked.quarantined_until
         ]
-        self._headroom.note(open_books, now)
-        with_more_free = self._rooms.with_more_free(open_books)
-        this_pass = Pass(
-            open_books,
+        self._headroom.record_usage(accepting, now)
+        with_more_free = self._free_capacity.with_more_free(accepting)
+        this_pass = PlacementPass(
+            accepting,
             now,
             wall,
             self._headroom,
             with_more_free,
-            resting,
+            quarantined,
         )
         ranked = [
             (waiting.rank(this_pass), waiting)
@@ -119,30 +122,30 @@
         ]
         ranked.sort(key=itemgetter(0))
         for rank, waiting in ranked:
-            self._look_at(rank, waiting, this_pass)
-        self._rooms.note(open_books)
-        self._kept = this_pass.workers.reserved
-        self._note_waits(this_pass.reason_by_job, now)
+            self._process_step(rank, waiting, this_pass)
+        self._free_capacity.update(accepting)
+        self._reserved = this_pass.workers.reserved
+        self._record_waits(this_pass.reason_by_job, now)
 
-    def _look_at(
+    def _process_step(
         self,
         rank: Rank,
         waiting: WaitingStep,
-        this_pass: Pass,
+        this_pass: PlacementPass,
     ) -> None:
-        """Place what a step may start, or say what it waits for."""
+        """Place what a step may start, or record why it waits."""
         step = waiting.step
         in_limit = self._within_limit(waiting, this_pass)
         allowed = in_limit
         if waiting.has_slack(this_pass):
-            allowed = _leave_headroom(step, allowed, this_pass)
+            allowed = _apply_headroom(step, allowed, this_pass)
         placed = 0
         if allowed and not waiting.blocked(this_pass):
             placed = self._place_step(rank, waiting, allowed, this_pass)
             if not placed:
-                waiting.note_no_room(this_pass)
+                waiting.mark_blocked(this_pass)
         if placed < len(waiting.tasks):
-            reason = _reason(step, this_pass)
+            reason = _wait_reason(step, this_pass)
             if len(allowed) < len(in_limit):
                 reason = WaitReason.HEADROOM
             elif placed == len(in_limit):
@@ -152,18 +155,20 @@
     def _within_limit(
         self,
         waiting: WaitingStep,
-        this_pass: Pass,
+        this_pass: PlacementPass,
     ) -> list[Task]:
-        """Return the tasks that their tenant's limit lets start.
+        """Return the tasks that their tenant's limit allows to start.
 
-        Work that has time does not go ahead of a gang of its tenant's that
-        needs most of the limit: it would never find that much free.
+        Work that is not urgent does not go ahead of a gang of the same tenant
+        that needs most of the limit: otherwise that much of the limit would
+        never be free at once.
         """
         step = waiting.step
         tenant = step.job.tenant.name
         tasks = waiting.tasks
         if this_pass.workers.overdue(step):
-            # One that fails would else take each turn before its siblings.
+            # Otherwise a task that fails repeatedly would always start before
+            # the other tasks of its step.
             tasks = longest_waiting_first(tasks)
         in_limit: list[Task] = []
         if tenant not in this_pass.tenants_saving_limit or step.job.urgent:
@@ -174,14 +179,14 @@
             step.limit_reached_at = this_pass.now
         return in_limit
 
-    def _waits_for_journal(self, now: Seconds) -> bool:
-        if self._state.writer.unconfirmed_for() < _JOURNAL_SILENT:
+    def _defer_for_journal(self, now: Seconds) -> bool:
+        if self._state.writer.unconfirmed_for() < _JOURNAL_TIMEOUT:
             return False
         waiting = (job for job, steps in self._waiting_by_job.items() if steps)
-        self._note_waits(dict.fromkeys(waiting, WaitReason.JOURNAL), now)
+        self._record_waits(dict.fromkeys(waiting, WaitReason.JOURNAL), now)
         return True
 
-    def _note_waits(
+    def _record_waits(
         self,
         reason_by_job: dict[JobId, WaitReason],
         now: Seconds,
@@ -193,7 +198,7 @@
                 job.wait_times.note(reason_by_job.get(job_id), now)
 
     def waiting_tasks(self) -> int:
-        """Return how many tasks wait whose turn has come."""
+        """Return the number of startable tasks that wait."""
         return sum(
             len(waiting.step.startable())
             for steps in self._waiting_by_job.values()
@@ -201,14 +206,14 @@
         )
 
     def waiting_work(self) -> WaitingWork:
-        """Return what waits, and what the last pass has found out."""
+        """Return the waiting steps and the findings of the last pass."""
         steps = [
             waiting.step
             for of_job in self._waiting_by_job.values()
             for waiting in of_job
             if waiting.step.startable()
         ]
-        return WaitingWork(steps, self._kept, self._reason_by_job)
+        return WaitingWork(steps, self._reserved, self._reason_by_job)
 
     def _refresh(self) -> None:
         wall = self._state.wall_clock()
@@ -217,7 +222,7 @@
             job = self._state.job_by_id.get(job_id)
             if job is None:
                 self._waiting_by_job.pop(job_id, None)
-                self._due_times.forget(job_id)
+                self._due_times.remove(job_id)
                 continue
             startable = (
                 (step, step.startable()) for step in job.open_steps(wall)
@@ -227,12 +232,12 @@
                 for step, tasks in startable
                 if tasks
             ]
-            self._note_turns(job_id)
-            self._due_times.note(job, wall)
+            self._record_waiting_since(job_id)
+            self._due_times.schedule(job, wall)
         self._state.changed_jobs.clear()
 
-    def _note_turns(self, job_id: JobId) -> None:
-        """Note since when tasks could be placed."""
+    def _record_waiting_since(self, job_id: JobId) -> None:
+        """Record since when tasks have been startable."""
         now = self._state.clock()
         for waiting in self._waiting_by_job[job_id]:
             for task in waiting.tasks:
@@ -245,13 +250,13 @@
         rank: Rank,
         waiting: WaitingStep,
         tasks: list[Task],
-        this_pass: Pass,
+        this_pass: PlacementPass,
     ) -> int:
-        """Place a step, ask for advice that it lacks, keep room for it.
+        """Place a step, request missing advice, reserve workers for it.
 
         Returns
         -------
-        How many of its tasks found room.
+        Number of tasks placed.
         """
         step = waiting.step
         with_free_capacity = this_pass.workers.with_free_capacity(step)
@@ -259,14 +264,16 @@
         missing = len(tasks) - len(chosen)
         advised = step.job.queue.advice is not None
         if chosen:
-            this_pass.note_placed(step, len(chosen))
+            this_pass.record_placed(step, len(chosen))
             if advised:
                 self._launch_or_renew(rank, step, chosen, missing)
             else:
                 self._runs.launch(step, chosen)
         if missing and advised and not step.permits.calls_in_flight:
-            unknown = this_pass.workers.unknown(step)
-            self._questions.request_candidates(rank, step, missing, unknown)
+            unchecked = this_pass.workers.unchecked(step)
+            self._advice_requester.request_candidates(
+                rank, step, missing, unchecked
+            )
         this_pass.reserve_workers(waiting, missing)
         return len(chosen)
 
@@ -276,20 +283,21 @@
         tasks: list[Task],
         with_free_capacity: list[TrackedWorker],
     ) -> list[Placement]:
-        """Choose workers, for a gang such as have tickets if they are enough.
+        """Choose workers; for a gang, prefer workers with valid tickets.
 
-        One ticket that has run out costs all of a gang another question.
+        A single expired ticket would cost the whole gang another advice
+        request.
         """
         if not with_free_capacity:
             return []
         if step.spec.gang and step.job.queue.advice is not None:
             until = self._state.clock() + TICKET_MARGIN
-            ready = [
+            with_tickets = [
                 tracked
                 for tracked in with_free_capacity
                 if step.permits.has_valid_ticket(tracked.worker, until)
             ]
-            chosen = choose_workers(step, tasks, ready)
+            chosen = choose_workers(step, tasks, with_tickets)
             if chosen:
                 return chosen
         return choose_workers(step, tasks, with_free_capacity)
@@ -301,28 +309,32 @@
         chosen: list[Placement],
         missing: int,
     ) -> None:
-        """Launch what has tickets; of a gang all or none."""
+        """Launch tasks that have tickets; of a gang all or none."""
         until = self._state.clock() + TICKET_MARGIN
-        ready = [
+        with_tickets = [
             placement
             for placement in chosen
             if step.permits.has_valid_ticket(placement.tracked.worker, until)
         ]
-        if step.spec.gang and len(ready) < len(chosen):
-            ready = []
-        if ready:
-            self._runs.launch(step, ready)
-        stale = [placement for placement in chosen if placement not in ready]
-        if stale and not step.permits.calls_in_flight:
-            self._questions.renew_tickets(rank, step, stale, missing)
+        if step.spec.gang and len(with_tickets) < len(chosen):
+            with_tickets = []
+        if with_tickets:
+            self._runs.launch(step, with_tickets)
+        without_ticket = [
+            placement for placement in chosen if placement not in with_tickets
+        ]
+        if without_ticket and not step.permits.calls_in_flight:
+            self._advice_requester.renew_tickets(
+                rank, step, without_ticket, missing
+            )
 
 
-def _leave_headroom(
+def _apply_headroom(
     step: StepState,
     tasks: list[Task],
-    this_pass: Pass,
+    this_pass: PlacementPass,
 ) -> list[Task]:
-    """Return the tasks that may start beside urgent work to come."""
+    """Return the tasks that may start without using up the headroom."""
     size = step.spec.charged.millicores
     if not size:
         return tasks
@@ -332,8 +344,8 @@
     return [] if step.spec.gang else tasks[: max(0, left // size)]
 
 
-def _reason(step: StepState, this_pass: Pass) -> WaitReason:
-    """Return what the tasks of a step that were not placed wait for."""
+def _wait_reason(step: StepState, this_pass: PlacementPass) -> WaitReason:
+    """Return why the remaining tasks of a step could not be placed."""
     if this_pass.workers.has_permitted(step):
         return WaitReason.ROOM
     if step.permits.calls_in_flight:
--- a/orchidrail/shard/ranking.py
+++ b/orchidrail/shard/ranking.py
@@ -1,4 +1,4 @@
-"""The order in which waiting steps are given room."""
+"""Order in which waiting steps are placed."""
 
 from __future__ import annotations
 
@@ -11,86 +11,88 @@
 
 Rank = tuple[float, ...]
 
-_URGENT, _OVERDUE, _OTHER, _BEYOND = range(4)
-#: A step whose latest start is nearer than this takes what room there is.
-_SPARE: Seconds = 2.0
-#: How far a late step is put off: as long as a usual job of the users' sites
-#: that is not urgent has in all.
-_LATE_WAITS: Seconds = 15.0
+_URGENT, _OVERDUE, _OTHER, _OVER_SHARE = range(4)
+#: A step with less slack than this before its latest start may use the
+#: headroom.
+_MIN_SLACK: Seconds = 2.0
+#: How long a late step is deferred: the total time that a typical non-urgent
+#: job of the users' sites has.
+_LATE_DEFERRAL: Seconds = 15.0
 
 
 def critical_path_s(spec: JobSpec, queue: QueueSettings) -> Seconds:
-    """Return the estimated run time of the longest chain of steps."""
+    """Return the estimated duration of the critical path in seconds."""
     advice = 0 if queue.advice is None else queue.advice.base
     end_by_step: list[Seconds] = []
     for step in spec.steps:
-        begin = max((end_by_step[earlier] for earlier in step.after), default=0)
-        end_by_step.append(begin + step.estimate + advice)
+        start = max((end_by_step[earlier] for earlier in step.after), default=0)
+        end_by_step.append(start + step.estimate + advice)
     return max(end_by_step)
 
 
 def round_deadline(job: Job, round_number: int = 0) -> Seconds:
-    """Return the wall clock by which a round of a job should have ended.
+    """Return the wall clock time by which a round should have ended.
 
-    It rests on the caller's estimates, which may be far off.
+    It is based on the caller's estimates, which may be far off.
     """
-    chain = critical_path_s(job.spec, job.queue)
-    began = _begins_at(job, round_number)
-    return began + job.queue.stretch * chain + job.queue.target
+    duration = critical_path_s(job.spec, job.queue)
+    became_due = _became_due_at(job, round_number)
+    return became_due + job.queue.stretch * duration + job.queue.target
 
 
-def _begins_at(job: Job, round_number: int) -> Seconds:
-    """Return the wall clock from which a round's time counts."""
+def _became_due_at(job: Job, round_number: int) -> Seconds:
+    """Return the wall clock time at which a round became due."""
     return max(job.record.accepted_at, job.spec.due(round_number))
 
 
 class Timing(NamedTuple):
-    """By when a waiting step should start and its round should end.
+    """Latest start of a waiting step and deadline of its round.
 
     Parameters
     ----------
     latest_start, deadline : float
-        Wall clock, seconds since 1970; both rest on the caller's estimates.
-    began : float
-        When the step's round was due, or its job accepted.
+        Wall clock time, seconds since 1970; both are based on the caller's
+        estimates.
+    became_due : float
+        When the step's round was due, or its job was accepted.
     urgent : bool
-        Whether the step's queue goes before all others.
+        Whether the step's queue has the highest priority.
     over_share : bool
-        Whether its job is beyond what its tenant is owed.
+        Whether its job is over its tenant's fair share.
     """
 
     latest_start: Seconds
     deadline: Seconds
-    began: Seconds
+    became_due: Seconds
     urgent: bool
     over_share: bool = False
 
     def has_slack(self, wall: Seconds) -> bool:
-        """Whether the step still meets its objective if it waits a while."""
+        """Whether the step can wait and still meet its objective."""
         if self.over_share:
             return True
-        return not self.urgent and wall < self.latest_start - _SPARE
+        return not self.urgent and wall < self.latest_start - _MIN_SLACK
 
     def rank(self, wall: Seconds) -> Rank:
-        """Return the rank of the step; the least goes first.
+        """Return the rank of the step; the lowest goes first.
 
-        Urgent queues go first; then the others by the latest time at which
-        they must start. What is late already, urgent or not, is put off for a
-        while: it does not starve what can be in time, but goes before what must
-        start later than that, so it is not starved for good. What a tenant
-        sends beyond what it is owed goes behind all that is owed.
+        Urgent queues go first, then the others by their latest start. A step
+        past its deadline, urgent or not, is deferred for a fixed time: it does
+        not starve steps that can still be in time, but goes before those with a
+        later latest start, so it is not starved either. Work over its tenant's
+        fair share goes behind all work within the share.
         """
         if self.over_share:
-            return (_BEYOND, self.latest_start)
+            return (_OVER_SHARE, self.latest_start)
         if wall > self.deadline:
-            return (_OTHER, self.deadline + _LATE_WAITS)
+            return (_OTHER, self.deadline + _LATE_DEFERRAL)
         if self.urgent:
-            return (_URGENT, self.began)
+            return (_URGENT, self.became_due)
         return (_OTHER, self.latest_start)
 
 
 def overdue_rank(since: Seconds) -> Rank:
-    """Return the rank of a step that has waited too long since a time.
+    """Return the rank of a step that has been overdue since a time.
 
     Only urgent work that can still be in time goes before it.
     """
@@ -98,7 +100,7 @@
 
 
 def is_overdue(rank: Rank) -> bool:
-    """Whether a rank is that of a step that has waited too long."""
+    """Whether a rank is that of an overdue step."""
     return rank[0] == _OVERDUE
 
 
@@ -109,7 +111,7 @@
     return Timing(
         deadline - critical_path_s(job.spec, job.queue),
         deadline,
-        _begins_at(job, step.round_number),
+        _became_due_at(job, step.round_number),
         job.urgent,
         job.record.over_share,
     )
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -1,4 +1,4 @@
-"""Tests of how a pass finds the workers that have room."""
+"""Tests of how a pass finds workers with free capacity."""
 
 from __future__ import annotations
 
@@ -16,20 +16,20 @@
 from orchidrail.workers.port import RunKey
 
 _COST = AdviceCost(0.5, 0.01, 1.5)
-#: Longest time for which a task that could run may not, in seconds.
-_MAY_STAND_STILL = 3
-#: Time that a question for a ticket may take of it, in seconds.
-_QUESTION = 1
+#: Maximum time without progress of a task that could run, in seconds.
+_MAX_STALL = 3
+#: Part of that time that an advice request may take, in seconds.
+_ADVICE_TIME = 1
 
 
 def fill(tracked: TrackedWorker, cores: int) -> None:
-    """Take room of a worker."""
+    """Allocate capacity of a worker."""
     key = RunKey(TaskKey('j.0.0.0'), RunNumber(len(tracked.run_by_key) + 1))
     tracked.allocate(PlacedRun(key, Size(cores * 1000), None, 0), 'j.0.0')
 
 
-def advised(spec: StepSpec, *good: str) -> StepState:
-    """Return a step that only some workers may run."""
+def advised(spec: StepSpec, *permitted: str) -> StepState:
+    """Return a step that only some workers are permitted to run."""
     step = make_step(spec)
     record = step.job.record
     step.job.record = type(record)(
@@ -43,7 +43,7 @@
         record.spec,
         record.accepted_at,
     )
-    tickets = {WorkerId(worker): 'ticket' for worker in good}
+    tickets = {WorkerId(worker): 'ticket' for worker in permitted}
     step.permits.record_advice(list(tickets), tickets, 10)
     return step
 
@@ -53,40 +53,43 @@
 
 
 def _usable(workers: CandidateWorkers, step: StepState) -> list[str]:
-    """Return where the tasks of a step go now."""
+    """Return the workers on which the tasks of a step are placed."""
     found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
     return [placement.tracked.worker for placement in chosen]
 
 
-class OpenWorkersTest(TestCase):
+class CandidateWorkersTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.tracked = [make_books(name, cores=8) for name in 'abcd']
         for cores, tracked in enumerate(self.tracked):
             fill(tracked, 2 * cores)
 
-    def test_workers_with_too_little_room_are_passed_over(self) -> None:
+    def test_workers_with_too_little_capacity_are_skipped(self) -> None:
         workers = CandidateWorkers(self.tracked)
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(
             ['c', 'b', 'a'], _names(workers.with_free_capacity(step))
         )
 
-    def test_room_that_went_in_the_same_pass_counts(self) -> None:
+    def test_capacity_allocated_in_the_same_pass_counts(self) -> None:
         workers = CandidateWorkers(self.tracked)
         fill(self.tracked[0], 8)
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
 
-    def test_workers_that_are_kept_are_passed_over(self) -> None:
+    def test_reserved_workers_are_skipped(self) -> None:
         workers = CandidateWorkers(self.tracked)
         workers.reserve({WorkerId('b')})
         step = make_step(StepSpec(1, Size(4000)))
         self.assertEqual(['c', 'a'], _names(workers.with_free_capacity(step)))
 
-    def test_a_lasting_task_that_is_to_be_back_takes_kept_workers(self) -> None:
-        """Seen on a drawn day: away for 9.5 s with room on kept workers."""
+    def test_an_interrupted_task_may_use_reserved_workers(self) -> None:
+        """Guards against reserved workers that block interrupted tasks.
+
+        One made no progress for 9.5 s with capacity on reserved workers.
+        """
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         task = step.tasks[0]
         task.run, task.waiting_since = RunNumber(1), 10
@@ -102,31 +105,32 @@
         workers = CandidateWorkers(self.tracked)
         step = advised(StepSpec(1, Size(4000)), 'a', 'd')
         self.assertEqual(['a'], _names(workers.with_free_capacity(step)))
-        self.assertEqual(['b', 'c'], _names(workers.unknown(step)))
+        self.assertEqual(['b', 'c'], _names(workers.unchecked(step)))
         self.assertEqual(['a', 'd'], _names(workers.permitted_for(step)))
 
-    def test_a_worker_that_failed_a_step_is_taken_only_if_no_other_is(
+    def test_a_worker_that_failed_a_step_is_the_last_choice(
         self,
     ) -> None:
         step = make_step(StepSpec(1, Size(4000)))
         step.failed_workers.note_failure(WorkerId('a'), 0)
         workers = CandidateWorkers(self.tracked)
         self.assertEqual(['c', 'b'], _names(workers.with_free_capacity(step)))
-        alone = CandidateWorkers(self.tracked[:1])
-        self.assertEqual(['a'], _names(alone.with_free_capacity(step)))
+        only_one = CandidateWorkers(self.tracked[:1])
+        self.assertEqual(['a'], _names(only_one.with_free_capacity(step)))
 
-    def test_a_worker_that_failed_a_step_is_taken_if_no_other_has_room(
+    def test_a_worker_that_failed_a_step_is_used_if_others_are_full(
         self,
     ) -> None:
-        """Seen on a users' site: an ordinary task stood still for 10 s.
-
-        It had failed on two workers, which had room; the other permitted one
-        was open and full, and counted as the better choice for as long as that
-        took. Brought about here: the other is full, or holds as many tasks of
-        the step as it may. A worker is avoided for less than work may stand
-        still, a question for its ticket included, also after several failures.
+        """Guards against a task that makes no progress for 10 s.
+
+        Its tasks had failed on two workers with free capacity. The other
+        permitted worker accepted work but was full, and counted as the better
+        choice for as long as it was. Here the other one is full, or runs the
+        maximum number of the step's tasks. A worker is avoided for less than
+        the time that work may make no progress, minus an advice request, also
+        after several failures.
         """
-        workers = CandidateWorkers(self.tracked, _MAY_STAND_STILL - _QUESTION)
+        workers = CandidateWorkers(self.tracked, _MAX_STALL - _ADVICE_TIME)
         full = advised(StepSpec(1, Size(4000)), 'a', 'd')
         for _ in range(3):
             full.failed_workers.note_failure(WorkerId('a'), 0)
@@ -137,13 +141,13 @@
         held.failed_workers.note_failure(WorkerId('a'), 0)
         self.assertEqual(['a'], _usable(workers, held))
 
-    def test_the_label_that_a_step_needs_is_looked_at(self) -> None:
+    def test_workers_without_the_label_are_no_candidates(self) -> None:
         workers = CandidateWorkers(self.tracked)
         step = make_step(StepSpec(1, Size(1000), label='kind-b'))
         self.assertEqual([], workers.with_free_capacity(step))
         self.assertFalse(workers.has_permitted(step))
 
-    def test_the_largest_worker_tells_how_many_copies_fit(self) -> None:
+    def test_max_copies_is_that_of_the_largest_worker(self) -> None:
         service = make_job(StepSpec(1)).queue.service
         workers = CandidateWorkers([*self.tracked, make_books('e', cores=32)])
         copies = workers.max_copies(StepSpec(1, Size(10_000)), service)
--- a/orchidrail/shard/tests/test_room.py
+++ b/orchidrail/shard/tests/test_capacity_changes.py
@@ -1,4 +1,4 @@
-"""Tests of workers whose room shrinks and grows while they run."""
+"""Tests of workers whose capacity changes while tasks run."""
 
 from __future__ import annotations
 
@@ -26,15 +26,15 @@
     tracked.take_entry(entry)
 
 
-class RoomTest(ShardTestCase):
-    def test_free_room_follows_what_the_worker_says(self) -> None:
+class CapacityChangesTest(ShardTestCase):
+    def test_free_capacity_follows_the_worker_entry(self) -> None:
         tracked = make_books('a', cores=8)
         _resize(tracked, 4)
         self.assertEqual(4000, tracked.free.millicores)
         _resize(tracked, 8)
         self.assertEqual(8000, tracked.free.millicores)
 
-    def test_nothing_more_fits_until_enough_has_ended(self) -> None:
+    def test_an_overcommitted_worker_accepts_no_tasks(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(3, size=Size(2000))))
             shard.launch(step)
@@ -46,7 +46,7 @@
 
         self.run_scenario(scenario)
 
-    def test_room_kept_for_a_step_counts_in_the_smaller_room(self) -> None:
+    def test_a_hold_counts_against_the_reduced_capacity(self) -> None:
         tracked = make_books('a', cores=8)
         tracked.hold('step', Size(6000))
         _resize(tracked, 4)
@@ -54,8 +54,8 @@
         tracked.release_hold('step')
         self.assertEqual(4, tracked.slots_for('other', Size(1000), 0))
 
-    def test_a_start_that_was_not_sent_yet_is_taken_back(self) -> None:
-        """The room shrinks while the journal has not written the placement."""
+    def test_a_start_not_sent_yet_is_withdrawn(self) -> None:
+        """The capacity shrinks before the journal confirms the placement."""
 
         async def scenario(shard: Shard) -> None:
             store = shard.store
--- a/orchidrail/shard/tests/test_colocation.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -1,4 +1,4 @@
-"""Tests of tasks that serve and tasks that fill on one worker."""
+"""Tests of colocated best-effort and latency-sensitive tasks."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 _SOON: Seconds = 0.12
 _NOW: Seconds = 100.0
 _LONG: Seconds = 2.0
-_SERVING = StepSpec(1, Size(1000), lasting=True, target=0.1)
-_FILLING = StepSpec(1, Size(1000), best_effort=True)
-_FILLING_MAY_MISS = StepSpec(
+_LATENCY_SENSITIVE = StepSpec(1, Size(1000), lasting=True, target=0.1)
+_BEST_EFFORT = StepSpec(1, Size(1000), best_effort=True)
+_PROTECTED_BEST_EFFORT = StepSpec(
     1,
     Size(1000),
     best_effort=True,
@@ -33,8 +33,8 @@
 _IN_TIME, _LATE = 80, 120
 
 
-def _holding(spec: StepSpec) -> TrackedWorker:
-    """Return the books of a worker that runs a task."""
+def _running(spec: StepSpec) -> TrackedWorker:
+    """Return a worker that runs a task."""
     tracked = make_books('w')
     task = make_step(spec).tasks[0]
     key = RunKey(task.key, RunNumber(1))
@@ -48,33 +48,38 @@
     return step
 
 
-class SharingTest(TestCase):
+class ColocationTest(TestCase):
     def with_free_capacity(
         self,
         spec: StepSpec,
-        *every: TrackedWorker,
+        *tracked_workers: TrackedWorker,
         waited: Seconds = _LONG,
     ) -> list[str]:
-        """Return where a task goes that has waited for some time."""
-        workers = CandidateWorkers(list(every), _NOW)
+        """Return the workers that a task may use after some wait."""
+        workers = CandidateWorkers(list(tracked_workers), _NOW)
         found = workers.with_free_capacity(_waiting(spec, waited))
         return [tracked.worker for tracked in found]
 
-    def test_both_kinds_are_kept_apart_at_first(self) -> None:
-        for spec, other in ((_SERVING, _FILLING), (_FILLING, _SERVING)):
-            tracked = _holding(other)
+    def test_both_classes_are_separated_at_first(self) -> None:
+        for spec, other in (
+            (_LATENCY_SENSITIVE, _BEST_EFFORT),
+            (_BEST_EFFORT, _LATENCY_SENSITIVE),
+        ):
+            tracked = _running(other)
             self.assertEqual(
                 [], self.with_free_capacity(spec, tracked, waited=0)
             )
             self.assertEqual(['w'], self.with_free_capacity(spec, tracked))
 
-    def test_they_stay_apart_while_another_worker_has_room(self) -> None:
+    def test_they_stay_separated_while_another_worker_has_capacity(
+        self,
+    ) -> None:
         found = self.with_free_capacity(
-            _FILLING, _holding(_SERVING), make_books('v')
+            _BEST_EFFORT, _running(_LATENCY_SENSITIVE), make_books('v')
         )
         self.assertEqual(['v'], found)
 
-    def test_a_gang_shares_if_the_other_workers_do_not_hold_it(self) -> None:
+    def test_a_gang_is_colocated_if_other_workers_do_not_suffice(self) -> None:
         gang = StepSpec(
             2,
             Size(1000),
@@ -82,87 +87,99 @@
             best_effort=True,
             most_per_worker=1,
         )
-        serving = _holding(_SERVING)
-        found = self.with_free_capacity(gang, serving, make_books('v'))
+        latency_sensitive = _running(_LATENCY_SENSITIVE)
+        found = self.with_free_capacity(
+            gang, latency_sensitive, make_books('v')
+        )
         self.assertEqual(['v', 'w'], sorted(found))
         both = self.with_free_capacity(
-            gang, serving, make_books('v'), make_books('u')
+            gang, latency_sensitive, make_books('v'), make_books('u')
         )
         self.assertEqual(['u', 'v'], sorted(both))
 
-    def test_what_may_not_be_stopped_is_not_put_beside(self) -> None:
+    def test_best_effort_that_may_not_be_stopped_is_not_colocated(self) -> None:
         self.assertEqual(
             [],
-            self.with_free_capacity(_FILLING_MAY_MISS, _holding(_SERVING)),
+            self.with_free_capacity(
+                _PROTECTED_BEST_EFFORT, _running(_LATENCY_SENSITIVE)
+            ),
         )
         self.assertEqual(
             [],
-            self.with_free_capacity(_SERVING, _holding(_FILLING_MAY_MISS)),
+            self.with_free_capacity(
+                _LATENCY_SENSITIVE, _running(_PROTECTED_BEST_EFFORT)
+            ),
         )
 
-    def test_nothing_is_put_beside_where_answers_were_late(self) -> None:
-        tracked = _holding(_SERVING)
+    def test_best_effort_is_barred_after_late_responses(self) -> None:
+        tracked = _running(_LATENCY_SENSITIVE)
         tracked.best_effort_barred_until = _NOW + 1
-        self.assertEqual([], self.with_free_capacity(_FILLING, tracked))
+        self.assertEqual([], self.with_free_capacity(_BEST_EFFORT, tracked))
 
-    def test_a_step_that_waits_too_long_asks_about_such_workers(self) -> None:
-        workers = CandidateWorkers([_holding(_SERVING)], _NOW)
-        step = advised(_FILLING)
-        self.assertEqual([], workers.unknown(step))
+    def test_an_overdue_step_checks_workers_of_the_other_class(self) -> None:
+        workers = CandidateWorkers([_running(_LATENCY_SENSITIVE)], _NOW)
+        step = advised(_BEST_EFFORT)
+        self.assertEqual([], workers.unchecked(step))
         step.tasks[0].waiting_since = _NOW - _LONG
-        self.assertEqual(1, len(workers.unknown(step)))
+        self.assertEqual(1, len(workers.unchecked(step)))
 
 
-class LateAnswersTest(ShardTestCase):
+class LateResponsesTest(ShardTestCase):
     async def start_both(self, shard: Shard) -> tuple[RunKey, RunKey]:
-        """Have a task that serves and one that fills share the worker."""
-        for number, spec in enumerate((_SERVING, _FILLING)):
+        """Start a latency-sensitive and a best-effort task on the worker."""
+        for number, spec in enumerate((_LATENCY_SENSITIVE, _BEST_EFFORT)):
             job = make_job(spec)
             job.job_id = JobId(f'{number:016x}')
             shard.launch(shard.add(job))
             await asyncio.sleep(_SOON)
-        serving, filling = (order.key for order in shard.worker.starts)
-        return serving, filling
+        latency_sensitive, best_effort = (
+            order.key for order in shard.worker.starts
+        )
+        return latency_sensitive, best_effort
 
-    async def answer_in(
+    async def report_tails(
         self,
         shard: Shard,
-        serving: RunKey,
+        latency_sensitive: RunKey,
         *tails: int,
     ) -> None:
-        """List the tail of the answers' times, a while between each two."""
+        """Report tail response times of a run, with time in between."""
         for tail in tails:
-            shard.tracked.run_by_key[serving].late_since -= 1
-            listed = ActiveRun(serving, '', 100, tail)
-            shard.worker.active[serving] = listed
+            shard.tracked.run_by_key[latency_sensitive].late_since -= 1
+            listed = ActiveRun(latency_sensitive, '', 100, tail)
+            shard.worker.active[latency_sensitive] = listed
             await shard.poll()
             await asyncio.sleep(_SOON)
 
-    def test_what_fills_is_stopped_if_answers_stay_late(self) -> None:
+    def test_best_effort_is_stopped_if_responses_stay_late(self) -> None:
         async def scenario(shard: Shard) -> None:
-            serving, filling = await self.start_both(shard)
-            await self.answer_in(shard, serving, _IN_TIME, _LATE)
+            latency_sensitive, best_effort = await self.start_both(shard)
+            await self.report_tails(shard, latency_sensitive, _IN_TIME, _LATE)
             self.assertEqual([], shard.worker.stops)
-            await self.answer_in(shard, serving, _LATE)
-            self.assertEqual([filling], shard.worker.stops)
+            await self.report_tails(shard, latency_sensitive, _LATE)
+            self.assertEqual([best_effort], shard.worker.stops)
             self.assertGreater(shard.tracked.best_effort_barred_until, 0)
 
         self.run_scenario(scenario)
 
-    def test_answers_that_are_in_time_again_stop_nothing(self) -> None:
+    def test_nothing_is_stopped_if_responses_recover(self) -> None:
         async def scenario(shard: Shard) -> None:
-            serving, _ = await self.start_both(shard)
-            await self.answer_in(shard, serving, _LATE, _IN_TIME, _LATE)
+            latency_sensitive, _ = await self.start_both(shard)
+            await self.report_tails(
+                shard, latency_sensitive, _LATE, _IN_TIME, _LATE
+            )
             self.assertEqual([], shard.worker.stops)
 
         self.run_scenario(scenario)
 
-    def test_what_serves_alone_is_not_stopped(self) -> None:
+    def test_a_late_task_without_best_effort_is_not_stopped(self) -> None:
         async def scenario(shard: Shard) -> None:
-            shard.launch(shard.add(make_job(_SERVING)))
+            shard.launch(shard.add(make_job(_LATENCY_SENSITIVE)))
             await asyncio.sleep(_SOON)
-            serving = shard.worker.starts[0].key
-            await self.answer_in(shard, serving, _LATE, _LATE, _LATE)
+            latency_sensitive = shard.worker.starts[0].key
+            await self.report_tails(
+                shard, latency_sensitive, _LATE, _LATE, _LATE
+            )
             self.assertEqual([], shard.worker.stops)
             self.assertEqual(0, shard.tracked.best_effort_barred_until)
 
--- a/orchidrail/shard/tests/test_eligibility.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of the workers that a waiting task could have."""
+"""Tests of the reasons why workers are not eligible for a step."""
 
 from __future__ import annotations
 
@@ -16,37 +16,37 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 
-_NOBODY: frozenset[WorkerId] = frozenset()
+_NO_WORKER: frozenset[WorkerId] = frozenset()
 _TASK = Size(4000)
 _NOW = 1
 
 
-class ObstaclesTest(TestCase):
+class EligibilityTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
         self.tracked = [make_books(name, cores=8) for name in 'abcd']
 
-    def survey(
+    def eligibility_of(
         self,
         step: StepState,
-        reserved: frozenset[WorkerId] = _NOBODY,
+        reserved: frozenset[WorkerId] = _NO_WORKER,
     ) -> EligibilitySummary:
-        return FleetEligibility(self.tracked, reserved, _NOW).of(step)
+        return FleetEligibility(self.tracked, reserved, _NOW).summarize(step)
 
     def counts(
         self,
         step: StepState,
-        reserved: frozenset[WorkerId] = _NOBODY,
+        reserved: frozenset[WorkerId] = _NO_WORKER,
     ) -> dict[IneligibleReason, int]:
-        return dict(self.survey(step, reserved).count_by_reason)
+        return dict(self.eligibility_of(step, reserved).count_by_reason)
 
-    def open_all(self) -> None:
-        """Let all workers be met."""
+    def make_reachable(self) -> None:
+        """Mark all workers as reachable."""
         for tracked in self.tracked:
             tracked.session.reachable = True
 
-    def test_each_worker_is_told_by_what_keeps_it(self) -> None:
-        self.open_all()
+    def test_each_worker_is_counted_by_its_reason(self) -> None:
+        self.make_reachable()
         step = advised(StepSpec(4, _TASK, most_per_worker=1), 'a', 'b', 'c')
         fill(self.tracked[0], 6)
         self.tracked[1].count_by_step[step.key] = 1
@@ -59,13 +59,13 @@
         }
         self.assertEqual(expected, self.counts(step))
 
-    def test_what_holds_for_good_is_told_first(self) -> None:
-        self.open_all()
+    def test_a_permanent_reason_comes_first(self) -> None:
+        self.make_reachable()
         step = make_step(StepSpec(1, Size(99_000)))
         self.assertEqual({IneligibleReason.UNSUITED: 4}, self.counts(step))
 
-    def test_a_closed_and_a_kept_worker_are_told(self) -> None:
-        self.open_all()
+    def test_quarantined_closed_and_reserved_workers_are_counted(self) -> None:
+        self.make_reachable()
         self.tracked[2].listed = False
         self.tracked[0].quarantine(now=0, seconds=float('inf'))
         step = make_step(StepSpec(1, _TASK))
@@ -78,15 +78,15 @@
         }
         self.assertEqual(expected, found)
 
-    def test_a_ticket_that_ran_out_is_told_last(self) -> None:
-        self.open_all()
+    def test_an_expired_ticket_comes_last(self) -> None:
+        self.make_reachable()
         step = advised(StepSpec(1, _TASK), 'a', 'b', 'c', 'd')
         step.permits.drop_ticket(WorkerId('a'))
         expected = {IneligibleReason.TICKET: 1, IneligibleReason.NONE: 3}
         self.assertEqual(expected, self.counts(step))
 
-    def test_room_that_is_held_for_another_step_is_told_as_held(self) -> None:
-        self.open_all()
+    def test_a_hold_of_another_step_is_a_reason(self) -> None:
+        self.make_reachable()
         step = make_step(StepSpec(1, _TASK))
         self.tracked[0].hold('other', Size(8000))
         fill(self.tracked[1], 8)
@@ -96,17 +96,17 @@
             IneligibleReason.NONE: 2,
         }
         self.assertEqual(expected, self.counts(step))
-        self.assertEqual(1, self.survey(step).held)
+        self.assertEqual(1, self.eligibility_of(step).held)
 
-    def test_room_that_is_held_for_the_step_itself_is_no_obstacle(self) -> None:
-        self.open_all()
+    def test_a_hold_of_the_step_itself_is_no_reason(self) -> None:
+        self.make_reachable()
         step = advised(StepSpec(1, _TASK), 'a')
         step.permits.drop_ticket(WorkerId('a'))
         self.tracked[0].hold(step.key, Size(8000))
         self.assertEqual(1, self.counts(step)[IneligibleReason.TICKET])
 
-    def test_permitted_workers_with_room_are_named_by_name(self) -> None:
-        self.open_all()
+    def test_idle_permitted_workers_are_sorted_by_name(self) -> None:
+        self.make_reachable()
         step = advised(StepSpec(1, _TASK), 'a', 'b', 'd')
         self.tracked.reverse()
         by_name = {tracked.worker: tracked for tracked in self.tracked}
@@ -115,19 +115,20 @@
         step.failed_workers.note_failure(WorkerId('d'), _NOW)
         self.assertEqual(
             [('a', IneligibleReason.CLOSED), ('d', IneligibleReason.FAILED)],
-            list(self.survey(step).reason_by_idle_worker.items()),
+            list(self.eligibility_of(step).reason_by_idle_worker.items()),
         )
 
-    def test_a_closed_worker_that_is_full_is_not_idle(self) -> None:
+    def test_a_full_worker_that_accepts_no_work_is_not_idle(self) -> None:
         step = make_step(StepSpec(1, _TASK))
         for tracked in self.tracked[1:]:
             fill(tracked, 6)
-        idle = self.survey(step).reason_by_idle_worker
+        idle = self.eligibility_of(step).reason_by_idle_worker
         self.assertEqual({'a': IneligibleReason.CLOSED}, idle)
 
-    def test_three_workers_with_room_are_named_at_the_most(self) -> None:
-        self.open_all()
+    def test_at_most_three_idle_workers_are_named(self) -> None:
+        self.make_reachable()
         step = make_step(StepSpec(1, _TASK))
         self.assertEqual(
-            ['a', 'b', 'c'], list(self.survey(step).reason_by_idle_worker)
+            ['a', 'b', 'c'],
+            list(self.eligibility_of(step).reason_by_idle_worker),
         )
--- a/orchidrail/shard/tests/test_headroom.py
+++ b/orchidrail/shard/tests/test_headroom.py
@@ -1,4 +1,4 @@
-"""Tests of the room that is kept for urgent work."""
+"""Tests of the capacity left free for urgent work."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 from orchidrail.workers.port import RunKey
 
 
-def _run(tracked: TrackedWorker, millicores: int, priority: int) -> RunKey:
+def _allocate_run(
+    tracked: TrackedWorker, millicores: int, priority: int
+) -> RunKey:
     step = make_step(StepSpec(1, Size(millicores)))
     queue = msgspec.structs.replace(step.job.queue, priority=priority)
     step.job.record = msgspec.structs.replace(step.job.record, queue=queue)
@@ -31,23 +33,23 @@
         self.tracked = make_books('a', cores=40)
         self.service = self.tracked.entry.service
 
-    def left(self, now: float) -> int:
-        self.headroom.note([self.tracked], now)
+    def available(self, now: float) -> int:
+        self.headroom.record_usage([self.tracked], now)
         return self.headroom.available_to_others(self.service, [self.tracked])
 
-    def test_without_urgent_work_all_is_left_to_others(self) -> None:
-        _run(self.tracked, 10_000, priority=1)
-        self.assertEqual(30_000, self.left(1))
+    def test_without_urgent_work_there_is_no_headroom(self) -> None:
+        _allocate_run(self.tracked, 10_000, priority=1)
+        self.assertEqual(30_000, self.available(1))
 
-    def test_what_a_peak_used_is_kept_free_and_forgotten(self) -> None:
-        key = _run(self.tracked, 8_000, priority=0)
-        self.assertEqual(32_000, self.left(1))
+    def test_headroom_follows_the_peak_and_decays(self) -> None:
+        key = _allocate_run(self.tracked, 8_000, priority=0)
+        self.assertEqual(32_000, self.available(1))
         self.tracked.release(key)
-        self.assertEqual(32_000, self.left(1))
-        self.assertGreater(self.left(11), 36_000)
+        self.assertEqual(32_000, self.available(1))
+        self.assertGreater(self.available(11), 36_000)
 
-    def test_only_a_share_is_ever_kept(self) -> None:
-        key = _run(self.tracked, 30_000, priority=0)
-        self.left(1)
+    def test_headroom_has_a_maximum_share(self) -> None:
+        key = _allocate_run(self.tracked, 30_000, priority=0)
+        self.available(1)
         self.tracked.release(key)
-        self.assertEqual(30_000, self.left(1))
+        self.assertEqual(30_000, self.available(1))
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -1,4 +1,4 @@
-"""Tests of what an owner tells of its load."""
+"""Tests of the periodic load report."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class LoadReportTest(ShardTestCase):
-    def test_the_load_tells_of_questions_and_calls(self) -> None:
+    def test_the_load_report_includes_advice_requests_and_calls(self) -> None:
         async def scenario(shard: Shard) -> None:
             dispatcher = AdviceDispatcher(self.fail, time.monotonic)
             dispatcher.set_advice_lanes([InstanceId('lane')])
@@ -30,15 +30,15 @@
                 question.state_since -= _WAITED
                 with capture_logs() as lines:
                     LoadReport(shard.state, placer, dispatcher).report()
-            told = lines[-1]
+            logged = lines[-1]
             self.assertAlmostEqual(
                 _WAITED,
-                told['oldest_question'],
+                logged['oldest_question'],
                 delta=0.5,
             )
             self.assertEqual(
                 (0, 0),
-                (told['short_calls'], told['long_calls']),
+                (logged['short_calls'], logged['long_calls']),
             )
             gauge = shard.state.metrics.registry.get_sample_value(
                 'orchidrail_oldest_question_seconds',
--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -1,8 +1,9 @@
-"""Tests of steps that have been held back for other work for too long.
+"""Tests of overdue steps, which were deferred for too long.
 
-They guard against tasks that stand still though most of their service's room
-is free: behind work with an earlier deadline that fails and starts again, or
-while the workers with room rest, each further failure making the rest longer.
+They guard against tasks that make no progress though most of their service's
+capacity is free: behind work with an earlier deadline that fails and starts
+again, or while the workers with free capacity are quarantined, and each further
+failure extends the quarantine.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 from orchidrail.shard.candidate_workers import CandidateWorkers, may_place_on
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.placement_pass import Pass, WaitingStep
+from orchidrail.shard.placement_pass import PlacementPass, WaitingStep
 from orchidrail.shard.ranking import Timing, is_overdue
 from orchidrail.shard.tests.test_candidate_workers import fill
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
@@ -22,10 +23,10 @@
 from orchidrail.work.step import StepState, longest_waiting_first
 
 _CORES = 8
-#: Longest time for which a task that could run may not, in seconds.
-_MAY_STAND_STILL: Seconds = 3
-#: Time that a question for a ticket may take of it, in seconds.
-_QUESTION: Seconds = 0.6
+#: Maximum time without progress of a task that could run, in seconds.
+_MAX_STALL: Seconds = 3
+#: Part of that time that an advice request may take, in seconds.
+_ADVICE_TIME: Seconds = 0.6
 
 
 def _waiting(since: Seconds) -> StepState:
@@ -36,8 +37,8 @@
     return step
 
 
-def _pass(every: list[TrackedWorker], now: Seconds) -> Pass:
-    return Pass(every, now, now, Headroom(), [], [])
+def _pass(tracked_workers: list[TrackedWorker], now: Seconds) -> PlacementPass:
+    return PlacementPass(tracked_workers, now, now, Headroom(), [], [])
 
 
 class OverdueTest(TestCase):
@@ -48,9 +49,7 @@
     def test_a_step_that_waits_while_half_is_free_is_overdue_in_time(
         self,
     ) -> None:
-        workers = CandidateWorkers(
-            self.tracked, _MAY_STAND_STILL - 2 * _QUESTION
-        )
+        workers = CandidateWorkers(self.tracked, _MAX_STALL - 2 * _ADVICE_TIME)
         self.assertEqual(0, workers.overdue_since(_waiting(0)))
         early = CandidateWorkers(self.tracked, 0.5)
         self.assertIsNone(early.overdue_since(_waiting(0)))
@@ -68,8 +67,8 @@
         workers = CandidateWorkers(self.tracked, 10)
         self.assertIsNone(workers.overdue_since(step))
 
-    def test_the_longest_wait_goes_before_an_earlier_deadline(self) -> None:
-        """Guards against jobs that fail again and again, and go first."""
+    def test_the_longest_overdue_step_precedes_earlier_deadlines(self) -> None:
+        """Guards against jobs that fail repeatedly and always go first."""
         now: Seconds = 10
         ranks = {}
         for name, since, deadline in (
@@ -87,7 +86,7 @@
             [is_overdue(ranks[name]) for name in ordered],
         )
 
-    def test_urgent_work_in_time_goes_before_what_is_overdue(self) -> None:
+    def test_urgent_work_in_time_precedes_overdue_work(self) -> None:
         now: Seconds = 10
         this_pass = _pass(self.tracked, now)
         urgent = Timing(10, 11, 9.9, urgent=True)
@@ -96,31 +95,33 @@
         second = WaitingStep(other, _waiting(0), [])
         self.assertLess(first.rank(this_pass), second.rank(this_pass))
 
-    def test_a_task_that_has_just_failed_goes_behind_its_siblings(
+    def test_a_task_that_just_failed_goes_behind_its_siblings(
         self,
     ) -> None:
-        """Guards against one task that takes each turn of its step."""
+        """Guards against a failing task that always starts first."""
         step = make_step(StepSpec(3, Size(1000)))
         for task, since in zip(step.tasks, (9, 1, 2), strict=True):
             task.waiting_since = since
-        turns = [task.index for task in longest_waiting_first(step.startable())]
-        self.assertEqual([1, 2, 0], turns)
+        indexes = [
+            task.index for task in longest_waiting_first(step.startable())
+        ]
+        self.assertEqual([1, 2, 0], indexes)
 
-    def test_a_step_is_not_kept_off_resting_workers_for_long(self) -> None:
-        """Guards against rests that each failure of another job renews."""
+    def test_an_overdue_step_may_use_quarantined_workers(self) -> None:
+        """Guards against quarantines extended by failures of other jobs."""
         for tracked in self.tracked:
             tracked.quarantine(0, 100)
         found_at = []
-        for now in (1.5, _MAY_STAND_STILL - _QUESTION):
-            workers = CandidateWorkers([], now, resting=self.tracked)
+        for now in (1.5, _MAX_STALL - _ADVICE_TIME):
+            workers = CandidateWorkers([], now, quarantined=self.tracked)
             found = workers.with_free_capacity(_waiting(0))
             found_at.append([tracked.worker for tracked in found])
         self.assertEqual([[], ['a', 'b']], found_at)
 
-    def test_a_worker_that_begins_to_rest_gets_nothing_that_can_wait(
+    def test_a_newly_quarantined_worker_gets_only_overdue_work(
         self,
     ) -> None:
-        """Its tickets may come while it rests after failures there."""
+        """Its tickets may arrive during the quarantine."""
         tracked = self.tracked[0]
         tracked.session.reachable = True
         tracked.quarantine(0, 100)
@@ -129,17 +130,17 @@
         tracked.listed = False
         self.assertFalse(may_place_on(_waiting(0), tracked, 2.5))
 
-    def test_another_worker_with_room_goes_before_one_that_rests(self) -> None:
-        resting, other = self.tracked
-        workers = CandidateWorkers([other], 10, resting=[resting])
+    def test_other_workers_with_capacity_precede_quarantined_ones(self) -> None:
+        quarantined, other = self.tracked
+        workers = CandidateWorkers([other], 10, quarantined=[quarantined])
         found = workers.with_free_capacity(_waiting(0))
         self.assertEqual([WorkerId('b')], [tracked.worker for tracked in found])
 
-    def test_a_step_that_was_at_work_is_overdue_on_a_full_service(
+    def test_an_interrupted_step_is_overdue_on_a_full_service(
         self,
     ) -> None:
         fill(self.tracked[0], _CORES)
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         step.tasks[0].run, step.tasks[0].waiting_since = RunNumber(1), 0
-        workers = CandidateWorkers(self.tracked, _MAY_STAND_STILL)
+        workers = CandidateWorkers(self.tracked, _MAX_STALL)
         self.assertEqual(0, workers.overdue_since(step))
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of the pass that places, beside a real journal and fake workers."""
+"""Tests of placement passes with a real journal and fake workers."""
 
 from __future__ import annotations
 
@@ -45,9 +45,9 @@
 _ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
 _COST = AdviceCost(0.5, 0.007, 1.5)
 _SOON = 0.05
-#: The advice service takes no more workers in one call.
-_MOST_IN_CALL = 100
-#: Tasks of a step that is wider than that.
+#: Maximum number of workers in one call to the advice service.
+_MAX_IN_CALL = 100
+#: Tasks of a step that needs more than one call.
 _WIDE = 130
 
 
@@ -66,8 +66,8 @@
     return Job(JobId(name), record)
 
 
-class _Scene:
-    """Some workers, a placer, and questions that the test answers."""
+class _Scenario:
+    """Workers, a placer, and advice requests that the test answers."""
 
     def __init__(self, writer: JournalWriter) -> None:
         self.state = ShardState(
@@ -77,14 +77,14 @@
             InstanceMetrics(),
         )
         self.runs = RunTracker(self.state, self._note_fence, 0)
-        self.dispatcher = AdviceDispatcher(self._ask, time.monotonic)
+        self.dispatcher = AdviceDispatcher(self._call_advice, time.monotonic)
         self.placer = Placer(self.state, self.runs, self.dispatcher)
-        self.questions: list[tuple[list[WorkerId], asyncio.Future[Advice]]] = []
+        self.requests: list[tuple[list[WorkerId], asyncio.Future[Advice]]] = []
 
     def _note_fence(self) -> None:
         self.fenced = True
 
-    async def _ask(
+    async def _call_advice(
         self,
         lane: InstanceId,
         step_key: str,
@@ -94,7 +94,7 @@
         answer: asyncio.Future[Advice] = (
             asyncio.get_running_loop().create_future()
         )
-        self.questions.append((workers, answer))
+        self.requests.append((workers, answer))
         return await answer
 
     async def add_worker(self, name: str) -> None:
@@ -116,22 +116,22 @@
         self.state.mark_changed(job)
 
     async def answer(self, number: int, valid: Seconds) -> None:
-        """Approve of all that a question names."""
-        workers, answer = self.questions[number]
+        """Grant tickets for all workers that a request names."""
+        workers, answer = self.requests[number]
         answer.set_result(Advice(dict.fromkeys(workers, 'ticket'), valid))
         await asyncio.sleep(_SOON)
 
 
 class PlacerTest(AsyncTestCase):
     def run_scenario(
-        self, scenario: Callable[[_Scene], Awaitable[None]]
+        self, scenario: Callable[[_Scenario], Awaitable[None]]
     ) -> None:
-        """Run a scene beside the journal's writer and the placer."""
+        """Run a scenario with a journal writer and a placer running."""
 
         async def run() -> None:
             view = JournalView(MemoryStore(), Topic('journal'))
             writer = await take_over(view, _ME, time.monotonic, Epoch(0))
-            setting = _Scene(writer)
+            setting = _Scenario(writer)
             tasks = [
                 asyncio.create_task(work)
                 for work in (writer.run(), setting.placer.run())
@@ -146,10 +146,10 @@
 
         self.run_async(run())
 
-    def test_room_kept_for_a_gang_goes_to_it_when_its_tickets_come(
+    def test_a_gang_is_placed_on_its_hold_when_tickets_arrive(
         self,
     ) -> None:
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             gang = _make_job(
@@ -160,9 +160,9 @@
             )
             shard.add(gang)
             await asyncio.sleep(_SOON)
-            # The tickets run out at once, so they are asked for again.
+            # The tickets expire at once, so the gang requests them again.
             await shard.answer(0, valid=0)
-            self.assertEqual(2, len(shard.questions))
+            self.assertEqual(2, len(shard.requests))
             urgent = _make_job(
                 'b' * 16,
                 StepSpec(1, Size(30_000, 1)),
@@ -177,32 +177,44 @@
 
         self.run_scenario(scenario)
 
-    def test_what_serves_is_not_put_beside_what_fills_when_tickets_come(
+    def test_a_hold_is_not_used_beside_a_new_best_effort_task(
         self,
     ) -> None:
-        """Room was kept for it, and a task that fills takes none."""
+        """Guards against a best-effort task colocated during a hold.
 
-        async def scenario(shard: _Scene) -> None:
+        It is allocated no processor time, so the hold does not keep it away.
+        """
+
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
-            serving = StepSpec(1, Size(20_000, 1), lasting=True, target=0.1)
-            serves = _make_job('a' * 16, serving, 1, advice=True)
-            shard.add(serves)
+            latency_sensitive_spec = StepSpec(
+                1, Size(20_000, 1), lasting=True, target=0.1
+            )
+            latency_sensitive_job = _make_job(
+                'a' * 16, latency_sensitive_spec, 1, advice=True
+            )
+            shard.add(latency_sensitive_job)
             await asyncio.sleep(_SOON)
-            # The tickets run out at once, so they are asked for again.
+            # The tickets expire at once, so the step requests them again.
             await shard.answer(0, valid=0)
-            filling = StepSpec(1, Size(4000, 1), best_effort=True)
-            fills = _make_job('b' * 16, filling, 1, advice=False)
-            shard.add(fills)
+            best_effort_spec = StepSpec(1, Size(4000, 1), best_effort=True)
+            best_effort_job = _make_job(
+                'b' * 16, best_effort_spec, 1, advice=False
+            )
+            shard.add(best_effort_job)
             await asyncio.sleep(_SOON)
             await shard.answer(1, valid=1.5)
-            phases = [job.steps(0)[0].tasks[0].phase for job in (serves, fills)]
+            phases = [
+                job.steps(0)[0].tasks[0].phase
+                for job in (latency_sensitive_job, best_effort_job)
+            ]
             self.assertEqual([TaskPhase.WAITING, TaskPhase.PLACED], phases)
 
         self.run_scenario(scenario)
 
-    def test_a_step_asks_through_several_lanes_if_there_are_many(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_a_step_uses_several_lanes_if_there_are_many(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
             shard.dispatcher.set_advice_lanes(
@@ -211,15 +223,15 @@
             spec = StepSpec(2, Size(20_000, 1), gang=True)
             shard.add(_make_job('a' * 16, spec, 1, advice=True))
             await asyncio.sleep(_SOON)
-            asked = [len(workers) for workers, _ in shard.questions]
+            asked = [len(workers) for workers, _ in shard.requests]
             self.assertEqual([12, 12], asked)
 
         self.run_scenario(scenario)
 
-    def test_a_step_asks_through_one_lane_while_the_others_are_busy(
+    def test_a_step_uses_one_lane_while_the_others_are_busy(
         self,
     ) -> None:
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             for number in range(24):
                 await shard.add_worker(f'w-{number}')
             shard.dispatcher.set_advice_lanes(
@@ -229,20 +241,21 @@
             for name in ('a', 'b'):
                 shard.add(_make_job(name * 16, spec, 1, advice=True))
                 await asyncio.sleep(_SOON)
-            asked = [len(workers) for workers, _ in shard.questions]
+            asked = [len(workers) for workers, _ in shard.requests]
             self.assertEqual([12, 12, 24], asked)
 
         self.run_scenario(scenario)
 
-    def test_a_gang_asks_about_more_workers_than_would_do(self) -> None:
-        """Gangs of twenty in a busy cell, a quarter of it open to each.
+    def test_a_gang_requests_more_candidates_than_other_steps(self) -> None:
+        """Guards against gangs that wait for workers they have not checked.
 
-        Seen on the users' shifted work: gangs waited for workers they had not
-        asked about, while their good ones were full; each further call took
-        0.9 s. The same step without a gang asks as before.
+        About a quarter of a busy cell's workers is permitted for each gang of
+        twenty. Their permitted workers were full, and each further advice call
+        took 0.9 s. The same step without a gang requests as many workers as
+        before.
         """
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             for number in range(90):
                 await shard.add_worker(f'w-{number:02d}')
             lanes = [InstanceId(f'lane-{lane}') for lane in range(40)]
@@ -250,17 +263,19 @@
             asked: list[int] = []
             for name, gang in (('a' * 16, False), ('b' * 16, True)):
                 spec = StepSpec(80, Size(8000, 1), gang=gang)
-                before = len(shard.questions)
+                before = len(shard.requests)
                 shard.add(_make_job(name, spec, 2, advice=True))
                 await asyncio.sleep(_SOON)
-                new = shard.questions[before:]
+                new = shard.requests[before:]
                 asked.append(len({one for names, _ in new for one in names}))
             self.assertGreaterEqual(asked[1], min(90, 2 * asked[0]))
 
         self.run_scenario(scenario)
 
-    async def ask_again(self, shard: _Scene, spec: StepSpec) -> StepState:
-        """Have a wide step wait all of whose tickets have run out."""
+    async def wait_with_expired_tickets(
+        self, shard: _Scenario, spec: StepSpec
+    ) -> StepState:
+        """Let a wide step wait all of whose tickets have expired."""
         for number in range(_WIDE):
             await shard.add_worker(f'w-{number}')
         shard.dispatcher.set_advice_lanes(
@@ -278,14 +293,14 @@
         phases = {task.phase for task in step.tasks}
         self.assertEqual({TaskPhase.PLACED}, phases)
 
-    def test_no_call_names_more_workers_than_it_may(self) -> None:
-        """One with more would be refused each time, and its step never run."""
+    def test_no_call_names_more_workers_than_the_maximum(self) -> None:
+        """Guards against calls that the advice service always rejects."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             spec = StepSpec(_WIDE, Size(1000), most_per_worker=1)
-            step = await self.ask_again(shard, spec)
-            asked = [len(workers) for workers, _ in shard.questions]
-            self.assertLessEqual(max(asked), _MOST_IN_CALL)
+            step = await self.wait_with_expired_tickets(shard, spec)
+            asked = [len(workers) for workers, _ in shard.requests]
+            self.assertLessEqual(max(asked), _MAX_IN_CALL)
             self.assertEqual(_WIDE, sum(asked))
             for number, _ in enumerate(asked):
                 await shard.answer(number, valid=1.5)
@@ -293,11 +308,11 @@
 
         self.run_scenario(scenario)
 
-    def test_a_wide_gang_keeps_its_room_until_the_last_answer(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_a_wide_gang_keeps_its_holds_until_the_last_answer(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             spec = StepSpec(_WIDE, Size(1000), gang=True, most_per_worker=1)
-            step = await self.ask_again(shard, spec)
-            calls = len(shard.questions)
+            step = await self.wait_with_expired_tickets(shard, spec)
+            calls = len(shard.requests)
             for number in range(calls - 1):
                 await shard.answer(number, valid=1.5)
             held = [
@@ -307,14 +322,14 @@
             self.assertEqual(_WIDE, sum(held))
             await shard.answer(calls - 1, valid=1.5)
             self.assert_placed(step)
-            self.assertEqual(calls, len(shard.questions))
+            self.assertEqual(calls, len(shard.requests))
 
         self.run_scenario(scenario)
 
-    def test_a_gang_whose_room_is_lost_starts_on_other_tickets(self) -> None:
-        """Guards against a gang thrown back by each worker that rests."""
+    def test_a_gang_that_loses_a_hold_starts_on_other_tickets(self) -> None:
+        """Guards against a gang deferred by each quarantined worker."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             for name in ('w-1', 'w-2', 'w-3', 'w-4'):
                 await shard.add_worker(name)
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
@@ -323,7 +338,7 @@
             shard.add(job)
             await asyncio.sleep(_SOON)
             await shard.answer(0, valid=0)
-            renewed = shard.questions[1][0]
+            renewed = shard.requests[1][0]
             self.assertEqual(4, len(renewed))
             lost = shard.state.tracked_by_worker[renewed[0]]
             lost.listed = False
@@ -333,8 +348,8 @@
 
         self.run_scenario(scenario)
 
-    def test_a_task_that_waits_for_long_is_told_with_its_reasons(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_a_long_wait_is_logged_with_its_reasons(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             spec = StepSpec(3, Size(1000), lasting=True, most_per_worker=1)
             job = _make_job('a' * 16, spec, 1, advice=False)
@@ -349,13 +364,13 @@
                 shard.state.clock = lambda: time.monotonic() + 3
                 for _ in range(2):
                     waits.report(work)
-            told = [line for line in lines if line['event'] == 'tasks wait']
+            logged = [line for line in lines if line['event'] == 'tasks wait']
             self.assertEqual(
                 [(2, 'room')],
-                [(line['tasks'], line['reason']) for line in told],
+                [(line['tasks'], line['reason']) for line in logged],
             )
-            self.assertEqual({'copies': 1}, told[0]['workers'])
-            self.assertGreaterEqual(told[0]['seconds'], 3)
+            self.assertEqual({'copies': 1}, logged[0]['workers'])
+            self.assertGreaterEqual(logged[0]['seconds'], 3)
             waiting = shard.state.metrics.registry.get_sample_value(
                 'orchidrail_longest_task_wait_seconds',
                 {'queue': job.queue.name},
@@ -364,10 +379,10 @@
 
         self.run_scenario(scenario)
 
-    def test_the_gauge_of_waits_falls_when_a_queue_has_no_job_left(
+    def test_the_wait_gauge_is_zero_for_a_queue_without_jobs(
         self,
     ) -> None:
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             spec = StepSpec(3, Size(1000), lasting=True, most_per_worker=1)
             job = _make_job('a' * 16, spec, 1, advice=False)
@@ -386,10 +401,10 @@
 
         self.run_scenario(scenario)
 
-    def test_a_backlog_asks_for_no_more_than_the_lanes_can_take(self) -> None:
-        """After a loss of power, hundreds of steps wait for advice at once."""
+    def test_a_backlog_sends_no_more_requests_than_lanes_can_take(self) -> None:
+        """After a power failure, hundreds of steps need advice at once."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             lanes = [InstanceId(f'l-{lane}') for lane in range(4)]
             shard.dispatcher.set_advice_lanes(lanes)
@@ -406,10 +421,10 @@
 
         self.run_scenario(scenario)
 
-    def test_a_step_that_has_waited_for_long_asks_however_many_do(self) -> None:
-        """Urgent steps ask at once, and may do so for as long as they come."""
+    def test_an_overdue_step_requests_advice_despite_a_full_queue(self) -> None:
+        """Urgent steps request advice at once, and may keep arriving."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000))
@@ -425,12 +440,12 @@
 
         self.run_scenario(scenario)
 
-    def test_a_step_that_could_not_ask_yet_asks_when_lanes_are_free(
+    def test_a_deferred_request_is_sent_when_lanes_are_free(
         self,
     ) -> None:
-        """More steps wait than may ask at once, and nothing else changes."""
+        """More steps wait than may request advice, and nothing changes."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1_000, 1))
@@ -449,20 +464,20 @@
 
         self.run_scenario(scenario)
 
-    def test_a_blocked_step_takes_a_worker_that_failed_it_if_need_be(
+    def test_a_blocked_step_falls_back_to_a_worker_that_failed_it(
         self,
     ) -> None:
-        """The last other worker that may run a step leaves."""
+        """The only other permitted worker leaves."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             await shard.add_worker('w-2')
             full = _make_job('a' * 16, StepSpec(1, Size(60_000, 1)), 1, False)
             shard.add(full)
             await asyncio.sleep(_SOON)
-            busy = full.steps(0)[0].tasks[0].worker
+            full_worker = full.steps(0)[0].tasks[0].worker
             blocked = _make_job('b' * 16, StepSpec(1, Size(9_000, 1)), 1, False)
-            other = (shard.state.tracked_by_worker.keys() - {busy}).pop()
+            other = (shard.state.tracked_by_worker.keys() - {full_worker}).pop()
             blocked.steps(0)[0].failed_workers.note_failure(
                 other,
                 time.monotonic(),
@@ -471,17 +486,17 @@
             await asyncio.sleep(_SOON)
             task = blocked.steps(0)[0].tasks[0]
             self.assertIs(TaskPhase.WAITING, task.phase)
-            shard.state.tracked_by_worker[busy].listed = False
+            shard.state.tracked_by_worker[full_worker].listed = False
             shard.state.pass_requested.set()
             await asyncio.sleep(_SOON)
             self.assertEqual(other, task.worker)
 
         self.run_scenario(scenario)
 
-    def test_a_blocked_step_is_placed_when_a_worker_has_room(self) -> None:
-        """Hundreds of steps wait, and few workers have more room each time."""
+    def test_a_blocked_step_is_placed_when_capacity_is_freed(self) -> None:
+        """Hundreds of steps wait, and few workers gain free capacity."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             full = _make_job('a' * 16, StepSpec(1, Size(60_000, 1)), 1, False)
             blocked = _make_job('b' * 16, StepSpec(1, Size(9_000, 1)), 1, False)
@@ -500,8 +515,8 @@
 
         self.run_scenario(scenario)
 
-    def test_nothing_is_placed_while_the_journal_is_silent(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_nothing_is_placed_while_the_journal_is_unresponsive(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             store = shard.state.writer.view.store
             assert isinstance(store, MemoryStore)
@@ -522,7 +537,7 @@
         self.run_scenario(scenario)
 
     def test_small_tasks_do_not_starve_a_large_one(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             first = _make_job('a' * 16, StepSpec(2, Size(20_000)), 1, False)
             shard.add(first)
@@ -537,8 +552,8 @@
 
         self.run_scenario(scenario)
 
-    def test_no_worker_is_kept_while_there_is_room(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_no_worker_is_reserved_while_capacity_is_free(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             for number in range(3):
                 await shard.add_worker(f'w-{number}')
             on_each = StepSpec(3, Size(30_000), most_per_worker=1)
@@ -554,15 +569,15 @@
 
         self.run_scenario(scenario)
 
-    def test_a_round_starts_in_time_though_something_always_changes(
+    def test_a_round_starts_in_time_under_constant_changes(
         self,
     ) -> None:
-        async def keep_changing(shard: _Scene) -> None:
+        async def keep_changing(shard: _Scenario) -> None:
             while True:
                 shard.state.pass_requested.set()
                 await asyncio.sleep(_SOON / 5)
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             timed = make_timed_job('a' * 16, time.time() + _SOON, 100)
             shard.add(timed)
@@ -574,15 +589,15 @@
 
         self.run_scenario(scenario)
 
-    def test_a_job_tells_what_it_waited_for(self) -> None:
-        async def scenario(shard: _Scene) -> None:
+    def test_a_job_records_its_wait_reasons(self) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1')
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             asking = _make_job('a' * 16, StepSpec(1, Size(1, 1)), 1, True)
             shard.add(asking)
             full = StepSpec(2, Size(64_000, 1))
-            crowded = _make_job('b' * 16, full, 1, advice=False)
-            shard.add(crowded)
+            full_step_job = _make_job('b' * 16, full, 1, advice=False)
+            shard.add(full_step_job)
             await asyncio.sleep(_SOON)
             await shard.answer(0, valid=1.5)
             shard.placer.place_all()
@@ -590,6 +605,8 @@
             self.assertIn(
                 'advice', asking.wait_times.describe(time.monotonic())
             )
-            self.assertIn('room', crowded.wait_times.describe(time.monotonic()))
+            self.assertIn(
+                'room', full_step_job.wait_times.describe(time.monotonic())
+            )
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_waits_of_the_placer.py
+++ b/orchidrail/shard/tests/test_placer_wait_bounds.py
@@ -1,4 +1,4 @@
-"""Scenes of a placer in which a wait has no bound, or begins anew."""
+"""Tests of a placer's waits that had no bound, or were measured anew."""
 
 from __future__ import annotations
 
@@ -40,11 +40,12 @@
 
 _ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
 _LONG_COST = AdviceCost(0.5, 0.007, 1.5)
-_QUICK_COST = AdviceCost(0.06, 0.002, 1.5)
+_SHORT_COST = AdviceCost(0.06, 0.002, 1.5)
 _SOON = 0.1
-#: Calls for advice above this length keep out of the quick lanes, in seconds.
-_QUICK: Seconds = 0.15
-#: By then all that could run must have been at work, in seconds.
+#: Advice calls longer than this, in seconds, don't use the lanes reserved for
+#: short ones.
+_SHORT_CALL: Seconds = 0.15
+#: By then all that could run must have started, in seconds.
 _LONG_WAIT: Seconds = 10
 
 
@@ -52,11 +53,11 @@
     return [task.index for task in job.steps(0)[0].startable()]
 
 
-class _Scene:
-    """Some workers, a placer, questions that wait, and a clock to be set."""
+class _Scenario:
+    """Workers, a placer, pending advice requests, and a settable clock."""
 
     def __init__(self, writer: JournalWriter) -> None:
-        self.passed: Seconds = 0
+        self.elapsed: Seconds = 0
         self.state = ShardState(
             writer,
             self.clock,
@@ -64,18 +65,18 @@
             InstanceMetrics(),
         )
         self.runs = RunTracker(self.state, self._note_fence, 0)
-        self.dispatcher = AdviceDispatcher(self._ask, self.clock)
+        self.dispatcher = AdviceDispatcher(self._call_advice, self.clock)
         self.placer = Placer(self.state, self.runs, self.dispatcher)
         self.asked: list[list[WorkerId]] = []
         self.answers: list[asyncio.Future[Advice | None]] = []
 
     def clock(self) -> Seconds:
-        return time.monotonic() + self.passed
+        return time.monotonic() + self.elapsed
 
     def _note_fence(self) -> None:
         self.fenced = True
 
-    async def _ask(
+    async def _call_advice(
         self,
         lane: InstanceId,
         step_key: str,
@@ -109,7 +110,7 @@
         priority: int = 1,
         advice: AdviceCost | None = None,
         tenant: Tenant = ANONYMOUS_TENANT,
-        known: bool = True,
+        checked: bool = True,
     ) -> Job:
         record = make_job(spec).record
         queue = msgspec.structs.replace(
@@ -125,30 +126,32 @@
         )
         job = Job(JobId(name * 16), record)
         self.state.job_by_id[job.job_id] = job
-        if advice is not None and known:
-            # Their tickets have run out.
-            every = list(self.state.tracked_by_worker)
+        if advice is not None and checked:
+            # Their tickets have expired.
+            tracked_workers = list(self.state.tracked_by_worker)
             permits = job.steps(0)[0].permits
-            permits.record_advice(every, dict.fromkeys(every, 'old'), 0)
-        await self.poll(job)
+            permits.record_advice(
+                tracked_workers, dict.fromkeys(tracked_workers, 'old'), 0
+            )
+        await self.run_pass(job)
         return job
 
-    async def poll(self, job: Job) -> None:
+    async def run_pass(self, job: Job) -> None:
         self.state.mark_changed(job)
         self.state.pass_requested.set()
         await asyncio.sleep(_SOON)
 
 
-class WaitsOfPlacerTest(AsyncTestCase):
+class PlacerWaitBoundsTest(AsyncTestCase):
     def run_scenario(
-        self, scenario: Callable[[_Scene], Awaitable[None]]
+        self, scenario: Callable[[_Scenario], Awaitable[None]]
     ) -> None:
-        """Run a scene beside the journal's writer and the placer."""
+        """Run a scenario with a journal writer and a placer running."""
 
         async def run() -> None:
             view = JournalView(MemoryStore(), Topic('journal'))
             writer = await take_over(view, _ME, time.monotonic, Epoch(0))
-            setting = _Scene(writer)
+            setting = _Scenario(writer)
             tasks = [
                 asyncio.create_task(work)
                 for work in (writer.run(), setting.placer.run())
@@ -163,84 +166,86 @@
 
         self.run_async(run())
 
-    def test_a_refused_start_does_not_begin_the_wait_anew(self) -> None:
-        """Guards against waits that count from the last refusal only.
+    def test_a_rejected_start_does_not_restart_the_wait(self) -> None:
+        """Guards against waits measured from the last rejected start.
 
-        Workers that refuse by turns keep a task from ever being overdue.
+        Workers that reject starts in turn would keep a task from ever becoming
+        overdue.
         """
 
-        async def scenario(shard: _Scene) -> None:
-            refuses = FakeWorker()
-            refuses.start_result = OrderResult.UNHEALTHY
-            tracked = await shard.add_worker('w-1', refuses)
+        async def scenario(shard: _Scenario) -> None:
+            rejecting = FakeWorker()
+            rejecting.start_result = OrderResult.UNHEALTHY
+            tracked = await shard.add_worker('w-1', rejecting)
             tracked.quarantine(shard.clock(), 100)
             job = await shard.add('a', StepSpec(1, Size(1000, 1)))
             since = job.steps(0)[0].waiting_since()
             tracked.quarantined_until = 0
-            await shard.poll(job)
-            self.assertEqual(1, len(refuses.starts))
+            await shard.run_pass(job)
+            self.assertEqual(1, len(rejecting.starts))
             self.assertEqual(since, job.steps(0)[0].waiting_since())
 
         self.run_scenario(scenario)
 
-    def play_rest(self, tasks: int) -> list[int]:
-        """Return which tasks of a tenant that may run two still wait.
+    def wait_beside_quarantine(self, tasks: int) -> list[int]:
+        """Return which tasks of a tenant with a limit of two still wait.
 
-        There is room on a worker that rests, and they have waited for long.
+        There is free capacity on a quarantined worker, and the tasks have
+        waited for long.
         """
         waiting: list[int] = []
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             tracked = await shard.add_worker('w-1', FakeWorker())
             tracked.quarantine(shard.clock(), 100)
             tenant = Tenant(TenantId('stores'), 1, Size(8000, 0))
             spec = StepSpec(tasks, Size(4000, 1))
             job = await shard.add('a', spec, tenant=tenant)
-            shard.passed = _LONG_WAIT
-            await shard.poll(job)
+            shard.elapsed = _LONG_WAIT
+            await shard.run_pass(job)
             waiting.extend(_waiting_tasks(job))
 
         self.run_scenario(scenario)
         return waiting
 
-    def test_tasks_within_their_tenants_limit_do_not_wait_for_rests(
+    def test_overdue_tasks_within_the_limit_use_quarantined_workers(
         self,
     ) -> None:
-        self.assertEqual([], self.play_rest(2))
+        self.assertEqual([], self.wait_beside_quarantine(2))
 
-    def test_tasks_within_the_limit_do_not_wait_since_others_are_not(
+    def test_overdue_tasks_start_up_to_the_limit(
         self,
     ) -> None:
-        """Guards against a step wider than the limit that is never overdue."""
-        self.assertEqual([2], self.play_rest(3))
+        """Guards against a step above the limit that is never overdue."""
+        self.assertEqual([2], self.wait_beside_quarantine(3))
 
-    def test_a_limit_lets_tasks_start_in_turn(self) -> None:
-        """Guards against one task that fails and takes each turn."""
+    def test_a_limit_lets_the_longest_waiting_task_start(self) -> None:
+        """Guards against a failing task that always starts first."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             tracked = await shard.add_worker('w-1', FakeWorker())
             tracked.quarantine(shard.clock(), 100)
             tenant = Tenant(TenantId('stores'), 1, Size(4000, 0))
             spec = StepSpec(3, Size(4000, 1))
             job = await shard.add('a', spec, tenant=tenant)
-            shard.passed = _LONG_WAIT
+            shard.elapsed = _LONG_WAIT
             job.steps(0)[0].tasks[0].waiting_since = shard.clock()
             tracked.quarantined_until = 0
-            await shard.poll(job)
+            await shard.run_pass(job)
             self.assertEqual([0, 2], _waiting_tasks(job))
 
         self.run_scenario(scenario)
 
-    def test_a_tenants_work_does_not_wait_for_good_behind_its_gang(
+    def test_a_tenants_work_does_not_wait_forever_behind_its_gang(
         self,
     ) -> None:
-        """Guards against a gang for which urgent work leaves no room.
+        """Guards against a gang that never fits beside urgent work.
 
-        Seven of ten cores of the tenant's limit stay free, its gang needs
-        eight.
+        Seven of the ten cores of the tenant's limit are free, and its gang
+        needs eight.
         """
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1', FakeWorker())
             tenant = Tenant(TenantId('stores'), 1, Size(10_000, 0))
             urgent = StepSpec(1, Size(3000, 1))
@@ -249,74 +254,78 @@
             await shard.add('b', gang, tenant=tenant)
             small = StepSpec(1, Size(1000, 1))
             job = await shard.add('c', small, tenant=tenant)
-            shard.passed = 6 * _LONG_WAIT
-            await shard.poll(job)
+            shard.elapsed = 6 * _LONG_WAIT
+            await shard.run_pass(job)
             self.assertEqual([], _waiting_tasks(job))
 
         self.run_scenario(scenario)
 
-    def test_renewals_do_not_keep_what_is_overdue_from_asking(self) -> None:
-        """Guards against a line to which renewals come without limit."""
+    def test_renewals_do_not_block_requests_of_overdue_steps(self) -> None:
+        """Guards against a queue that renewals fill without a bound."""
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             await shard.add_worker('w-1', FakeWorker())
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             spec = StepSpec(1, Size(1000, 1))
             for name in '0123456':
                 await shard.add(name, spec, advice=_LONG_COST)
-            job = await shard.add('a', spec, advice=_LONG_COST, known=False)
+            job = await shard.add('a', spec, advice=_LONG_COST, checked=False)
             step = job.steps(0)[0]
-            shard.passed = _LONG_WAIT
-            await shard.poll(job)
+            shard.elapsed = _LONG_WAIT
+            await shard.run_pass(job)
             self.assertLess(0, step.permits.calls_in_flight)
 
         self.run_scenario(scenario)
 
-    def renewed(self, names: int, closed: int = 0) -> list[WorkerId]:
-        """Return whom an urgent step asks about, one task of which has room."""
+    def find_renewed(self, names: int, unlisted: int = 0) -> list[WorkerId]:
+        """Return the workers that an urgent step's renewal names.
+
+        One task of the step has free capacity.
+        """
         asked: list[WorkerId] = []
 
-        async def scenario(shard: _Scene) -> None:
-            every = [
+        async def scenario(shard: _Scenario) -> None:
+            tracked_workers = [
                 await shard.add_worker(f'w-{number:02d}', FakeWorker())
                 for number in range(names)
             ]
-            for tracked in every[1:]:
+            for tracked in tracked_workers[1:]:
                 tracked.hold('other', tracked.free)
-            for tracked in every[1 : 1 + closed]:
+            for tracked in tracked_workers[1 : 1 + unlisted]:
                 tracked.listed = False
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             spec = StepSpec(names, Size(60_000, 1))
-            await shard.add('a', spec, priority=0, advice=_QUICK_COST)
+            await shard.add('a', spec, priority=0, advice=_SHORT_COST)
             asked.extend(shard.asked[0])
 
         self.run_scenario(scenario)
         return asked
 
-    def test_a_quick_question_does_not_become_a_long_one(self) -> None:
-        """Guards against urgent tasks with room behind all long questions.
+    def test_a_renewal_of_an_urgent_step_stays_a_short_call(self) -> None:
+        """Guards against urgent renewals queued behind long calls.
 
-        One worker has room; the others are asked about only in case that
-        they will have some, by the time of the answer.
+        One worker has free capacity; the others are checked only in case they
+        have some when the answer arrives.
         """
-        asked = self.renewed(60)
-        duration = _QUICK_COST.duration(len(asked))
-        self.assertLess(duration, _QUICK, f'{len(asked)} workers')
+        asked = self.find_renewed(60)
+        duration = _SHORT_COST.duration(len(asked))
+        self.assertLess(duration, _SHORT_CALL, f'{len(asked)} workers')
 
-    def test_a_renewal_does_not_ask_about_workers_that_have_left(
+    def test_a_renewal_does_not_name_workers_that_have_left(
         self,
     ) -> None:
-        self.assertEqual(1, len(self.renewed(20, closed=19)))
+        self.assertEqual(1, len(self.find_renewed(20, unlisted=19)))
 
-    def test_room_on_a_worker_that_is_blamed_meanwhile_is_not_used(
+    def test_a_hold_on_a_newly_quarantined_worker_is_not_used(
         self,
     ) -> None:
-        """Guards against attempts used up on a worker that has come to rest.
+        """Guards against attempts wasted on a quarantined worker.
 
-        Another one that is open has room, and its ticket holds.
+        Another worker that accepts work has free capacity, and its ticket is
+        valid.
         """
 
-        async def scenario(shard: _Scene) -> None:
+        async def scenario(shard: _Scenario) -> None:
             first = await shard.add_worker('w-1', FakeWorker())
             second = await shard.add_worker('w-2', FakeWorker())
             second.hold('other', second.free)
--- a/orchidrail/shard/tests/test_quarantine.py
+++ b/orchidrail/shard/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""Tests of which workers are blamed for what failed on them, and how long."""
+"""Tests of which workers are quarantined after failures, and how long."""
 
 from __future__ import annotations
 
@@ -9,65 +9,65 @@
 
 _WORKER = WorkerId('w')
 _LATER: Seconds = 100.0
-#: Work may stand still for 3 s, a question for a ticket among that.
-_LONGEST_BORNE: Seconds = 2.0
+#: Work may make no progress for 3 s, which includes an advice request.
+_MAX_BEARABLE: Seconds = 2.0
 
 
-class StandingsTest(TestCase):
+class QuarantinePolicyTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.standings = QuarantinePolicy()
+        self.policy = QuarantinePolicy()
 
-    def fail(  # type: ignore[override]
+    def record_failure(  # type: ignore[override]
         self,
         job: str,
         now: Seconds,
         worker: str = 'w',
         workers: int = 10,
     ) -> Seconds:
-        """Let a job fail on a worker; return how long that one rests."""
-        return self.standings.note_failure(
+        """Record a failed job; return how long to quarantine the worker."""
+        return self.policy.note_failure(
             WorkerId(worker),
             JobId(job),
             now,
             workers,
         )
 
-    def test_a_second_job_that_fails_speaks_against_the_worker(self) -> None:
-        rests = [self.fail(job, now=0) for job in ('a', 'a', 'b')]
-        self.assertEqual([0, 0], rests[:2])
-        self.assertGreater(rests[2], 0)
+    def test_a_second_failed_job_quarantines_the_worker(self) -> None:
+        durations = [self.record_failure(job, now=0) for job in ('a', 'a', 'b')]
+        self.assertEqual([0, 0], durations[:2])
+        self.assertGreater(durations[2], 0)
 
-    def test_a_success_clears_the_worker(self) -> None:
-        self.fail('a', now=0)
-        self.standings.note_success(_WORKER)
-        self.assertEqual(0, self.fail('b', now=0))
+    def test_a_success_resets_the_worker(self) -> None:
+        self.record_failure('a', now=0)
+        self.policy.note_success(_WORKER)
+        self.assertEqual(0, self.record_failure('b', now=0))
 
-    def test_only_some_workers_rest_at_a_time(self) -> None:
+    def test_the_share_of_quarantined_workers_is_limited(self) -> None:
         names = 'abcdef'
-        rests = [
-            self.fail(job, 0, name, len(names))
+        durations = [
+            self.record_failure(job, 0, name, len(names))
             for name in names
             for job in ('a', 'b')
         ]
-        self.assertEqual(2, sum(rest > 0 for rest in rests))
+        self.assertEqual(2, sum(rest > 0 for rest in durations))
 
-    def test_failures_of_long_ago_say_nothing(self) -> None:
-        """Where only tasks that last run, none ends well in between."""
-        self.fail('a', now=0)
-        self.assertEqual(0, self.fail('b', now=_LATER))
+    def test_old_failures_are_ignored(self) -> None:
+        """If only long-running tasks run, there is no success in between."""
+        self.record_failure('a', now=0)
+        self.assertEqual(0, self.record_failure('b', now=_LATER))
 
-    def test_a_rest_is_not_longer_for_those_of_long_ago(self) -> None:
+    def test_old_failures_do_not_extend_a_quarantine(self) -> None:
         now: Seconds = 0
-        rests = []
+        durations = []
         for job in 'abcdef':
-            rests.append(self.fail(job, now))
-            now += rests[-1]
-        self.fail('a', _LATER)
-        again = self.fail('b', _LATER)
-        self.assertEqual(rests[1], again)
+            durations.append(self.record_failure(job, now))
+            now += durations[-1]
+        self.record_failure('a', _LATER)
+        repeated = self.record_failure('b', _LATER)
+        self.assertEqual(durations[1], repeated)
 
-    def test_a_rest_ends_soon_after_the_last_failure(self) -> None:
-        """Whatever fails there; a task may have no other worker."""
-        rests = [self.fail(job, now=0) for job in 'abcdefgh']
-        self.assertLessEqual(max(rests), _LONGEST_BORNE)
+    def test_a_quarantine_has_a_maximum_duration(self) -> None:
+        """A step may have no other permitted worker."""
+        durations = [self.record_failure(job, now=0) for job in 'abcdefgh']
+        self.assertLessEqual(max(durations), _MAX_BEARABLE)
--- a/orchidrail/shard/tests/test_ranking.py
+++ b/orchidrail/shard/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""Tests of the order in which waiting steps are given room."""
+"""Tests of the order in which waiting steps are placed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RankingTest(TestCase):
-    def test_urgent_work_goes_first_then_what_must_start_first(self) -> None:
+    def test_urgent_work_goes_first_then_by_latest_start(self) -> None:
         order = _order(
             10,
             slack=Timing(50, 60, 5, urgent=False),
@@ -24,7 +24,7 @@
         )
         self.assertEqual(['urgent', 'close', 'slack'], order)
 
-    def test_urgent_rounds_due_long_ago_do_not_starve_what_is_in_time(
+    def test_late_urgent_rounds_do_not_starve_work_in_time(
         self,
     ) -> None:
         order = _order(
@@ -36,7 +36,7 @@
         )
         self.assertEqual(['urgent', 'close', 'long_ago', 'just_late'], order)
 
-    def test_what_is_late_is_not_starved_by_what_comes_ever_after(
+    def test_late_work_is_not_starved_by_new_work(
         self,
     ) -> None:
         late = Timing(12, 20, 0, urgent=False)
