--- a/orchidrail/shard/tests/test_reservations.py
+++ b/orchidrail/shard/tests/test_reservations.py
@@ -1,4 +1,4 @@
-"""Tests of which workers are kept free for large tasks and gangs."""
+"""Tests of which workers are reserved for large tasks and gangs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 def _place(
     tracked: TrackedWorker, spec: StepSpec, share: float = 0
 ) -> PlacedRun:
-    """Put a run on a worker that it was confirmed on at time 10."""
+    """Allocate a run on a worker; its start was confirmed at time 10."""
     task = make_step(spec).tasks[0]
     key = RunKey(task.key, RunNumber(len(tracked.run_by_key) + 1))
     run = PlacedRun(key, spec.charged, task, 10, confirmed_at=10)
@@ -33,8 +33,8 @@
     return run
 
 
-class EarmarksTest(TestCase):
-    def test_only_gangs_and_large_tasks_need_them(self) -> None:
+class ReservationsTest(TestCase):
+    def test_only_gangs_and_large_tasks_need_reservations(self) -> None:
         workers = CandidateWorkers([make_books('a')])
         small, large = StepSpec(1, Size(1000)), StepSpec(1, Size(2000))
         gang = StepSpec(2, Size(1000), gang=True)
@@ -45,31 +45,31 @@
         ]
         self.assertEqual([False, True, True], needs)
 
-    def test_the_worker_that_is_free_soonest_is_kept(self) -> None:
-        long, short = make_books('long'), make_books('short')
-        _place(long, StepSpec(1, Size(3000), estimate=9))
+    def test_the_worker_that_is_free_soonest_is_reserved(self) -> None:
+        slow, short = make_books('long'), make_books('short')
+        _place(slow, StepSpec(1, Size(3000), estimate=9))
         _place(short, StepSpec(1, Size(3000), estimate=2))
         step = make_step(StepSpec(1, Size(4000)))
-        reserved = choose_reserved_workers(step, 1, [long, short], now=11)
+        reserved = choose_reserved_workers(step, 1, [slow, short], now=11)
         self.assertEqual({'short'}, reserved)
 
-    def test_a_worker_that_holds_the_most_copies_is_not_kept(self) -> None:
-        """Its room is of no use to the step, for as long as those run."""
+    def test_a_worker_with_the_maximum_of_copies_is_not_reserved(self) -> None:
+        """Its capacity is of no use to the step while those tasks run."""
         spec = StepSpec(3, Size(2000), lasting=True, most_per_worker=1)
         step = make_step(spec)
-        held, other = make_books('held', cores=8), make_books('other')
+        full, other = make_books('held', cores=8), make_books('other')
         key = RunKey(step.tasks[0].key, RunNumber(1))
-        held.allocate(PlacedRun(key, spec.charged, step.tasks[0], 10), step.key)
+        full.allocate(PlacedRun(key, spec.charged, step.tasks[0], 10), step.key)
         _place(other, StepSpec(1, Size(3000), estimate=2))
-        # What runs there is of another job.
+        # The run there belongs to another job.
         other.count_by_step.clear()
-        reserved = choose_reserved_workers(step, 1, [held, other], now=11)
+        reserved = choose_reserved_workers(step, 1, [full, other], now=11)
         self.assertEqual({'other'}, reserved)
         self.assertEqual(
-            set(), choose_reserved_workers(step, 2, [held], now=11)
+            set(), choose_reserved_workers(step, 2, [full], now=11)
         )
 
-    def test_a_gang_that_never_fits_keeps_no_worker(self) -> None:
+    def test_a_gang_that_never_fits_reserves_no_worker(self) -> None:
         only = make_books('only')
         _place(only, StepSpec(1, Size(3000), estimate=9))
         gang = make_step(StepSpec(2, Size(4000), gang=True))
@@ -81,7 +81,7 @@
         )
         self.assertEqual({'only', 'other'}, both)
 
-    def test_room_comes_when_enough_has_ended(self) -> None:
+    def test_time_until_free_ends_when_enough_runs_end(self) -> None:
         tracked = make_books('a')
         _place(tracked, StepSpec(1, Size(2000), estimate=2))
         _place(tracked, StepSpec(1, Size(2000), estimate=5))
@@ -89,17 +89,18 @@
         self.assertEqual(4, time_until_free(tracked, Size(4000), now=11))
         self.assertEqual(math.inf, time_until_free(tracked, Size(5000), now=11))
 
-    def test_progress_tells_more_than_an_estimate(self) -> None:
+    def test_progress_takes_precedence_over_the_estimate(self) -> None:
         run = _place(make_books('a'), StepSpec(1, estimate=2), share=50)
         self.assertEqual(4, expected_time_left(run, now=14))
 
-    def test_a_gang_that_never_fits_beside_what_lasts_keeps_no_worker(
+    def test_no_reservation_if_long_running_tasks_leave_no_capacity(
         self,
     ) -> None:
-        """Each worker has room for a member; together they never have enough.
+        """Guards against reservations for a gang that never fits.
 
-        Seen on modelled days: tasks that last and had failed were away for
-        9 s and more, with room on workers that were kept so.
+        Each worker has capacity for one member, but not for the whole gang.
+        Interrupted long-running tasks made no progress for 9 s and more, with
+        free capacity on the workers reserved for such a gang.
         """
         both = make_books('a'), make_books('b')
         for tracked in both:
@@ -112,6 +113,6 @@
         reserved = choose_reserved_workers(pair, 2, list(both), now=11)
         self.assertEqual({'a', 'b'}, reserved)
 
-    def test_a_lasting_run_never_ends(self) -> None:
+    def test_a_long_running_run_has_no_expected_end(self) -> None:
         run = _place(make_books('a'), StepSpec(1, lasting=True))
         self.assertEqual(math.inf, expected_time_left(run, now=14))
--- a/orchidrail/shard/tests/test_whole_wait.py
+++ b/orchidrail/shard/tests/test_wait_bounds.py
@@ -1,7 +1,7 @@
-"""Tests of bounds on waiting that must hold for the wait as a whole.
+"""Tests of bounds that must hold for a wait as a whole.
 
-They guard against a bound that holds for one way to be held back, and not for
-the next one, or that is reckoned anew each time.
+They guard against a bound that covers one cause of deferral but not the next
+one, or that is measured anew for each.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from orchidrail.shard.candidate_workers import CandidateWorkers
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.placement_pass import Pass, WaitingStep
+from orchidrail.shard.placement_pass import PlacementPass, WaitingStep
 from orchidrail.shard.ranking import Timing
 from orchidrail.shard.tests.test_candidate_workers import advised, fill
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
@@ -22,9 +22,9 @@
 from orchidrail.work.step import StepState
 
 _CORES = 8
-_WHOLE = Size(_CORES * 1000)
-_EVERY = 'abcdefgh'
-#: By then a task that could run must have been at work, in seconds.
+_FULL = Size(_CORES * 1000)
+_NAMES = 'abcdefgh'
+#: By then a task that could run must have started, in seconds.
 _LONG_WAIT: Seconds = 10
 
 
@@ -38,116 +38,117 @@
 
 
 def _usable(workers: CandidateWorkers, step: StepState) -> list[str]:
-    """Return where the tasks of a step go now."""
+    """Return the workers on which the tasks of a step are placed."""
     found = workers.with_free_capacity(step)
     chosen = choose_workers(step, step.startable(), found)
     return [placement.tracked.worker for placement in chosen]
 
 
-class WholeWaitTest(TestCase):
+class WaitBoundsTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.tracked = [make_books(name, cores=_CORES) for name in _EVERY]
+        self.tracked = [make_books(name, cores=_CORES) for name in _NAMES]
 
     def pass_at(
         self,
         now: Seconds,
-        open_books: list[TrackedWorker],
-        resting: list[TrackedWorker],
-    ) -> Pass:
-        return Pass(open_books, now, now, Headroom(), [], resting)
+        accepting: list[TrackedWorker],
+        quarantined: list[TrackedWorker],
+    ) -> PlacementPass:
+        return PlacementPass(accepting, now, now, Headroom(), [], quarantined)
 
-    def test_a_gang_takes_a_resting_worker_beside_one_that_is_open(
+    def test_a_gang_adds_a_quarantined_worker_to_an_open_one(
         self,
     ) -> None:
-        """Guards against rests that keep a gang waiting without bound.
+        """Guards against quarantines that block a gang without a bound.
 
-        One worker with room is no use to a gang that needs two.
+        One worker with free capacity is of no use to a gang that needs two.
         """
         first, second = self.tracked[:2]
         second.quarantine(0, 100)
-        workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
-        gang = _waiting(StepSpec(2, _WHOLE, gang=True))
+        workers = CandidateWorkers([first], _LONG_WAIT, quarantined=[second])
+        gang = _waiting(StepSpec(2, _FULL, gang=True))
         self.assertEqual(['a', 'b'], sorted(_usable(workers, gang)))
 
-    def test_a_step_takes_a_resting_worker_beside_one_that_holds_its_copies(
+    def test_a_quarantined_worker_is_used_if_others_have_max_copies(
         self,
     ) -> None:
-        """Guards against an open worker that may hold no more of a step."""
+        """Guards against a worker that is full for this step only."""
         first, second = self.tracked[:2]
         second.quarantine(0, 100)
-        workers = CandidateWorkers([first], _LONG_WAIT, resting=[second])
+        workers = CandidateWorkers([first], _LONG_WAIT, quarantined=[second])
         step = _waiting(StepSpec(2, Size(1000), most_per_worker=1))
         task = step.tasks[0]
         step.job.place(task, RunNumber(1), WorkerId('a'))
         first.count_by_step[step.key] = 1
         self.assertEqual(['b'], _usable(workers, step))
 
-    def test_room_kept_for_questions_is_not_in_use(self) -> None:
-        """Guards against renewals that make an idle service look full.
+    def test_holds_do_not_count_as_capacity_in_use(self) -> None:
+        """Guards against holds that make an idle service look full.
 
-        Users judge by what runs at the workers; nothing does here.
+        Users judge by what runs on the workers; here nothing does.
         """
         for tracked in self.tracked[:5]:
-            tracked.hold(f'other-{tracked.worker}', _WHOLE)
+            tracked.hold(f'other-{tracked.worker}', _FULL)
         workers = CandidateWorkers(self.tracked, _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
-    def test_idle_workers_that_are_closed_are_not_in_use(self) -> None:
-        """Guards against reckoning by open workers only.
+    def test_idle_workers_that_accept_no_work_are_not_in_use(self) -> None:
+        """Guards against counting only workers that accept work.
 
-        Users judge by the capacity of the service; a quarter is in use.
+        Users judge by the capacity of the whole service, of which a quarter is
+        in use.
         """
         for tracked in self.tracked[4:6]:
             fill(tracked, _CORES)
         workers = CandidateWorkers(self.tracked[4:], _LONG_WAIT)
         self.assertEqual(0, workers.overdue_since(_waiting(StepSpec(1))))
 
-    def test_a_step_that_may_go_to_resting_workers_is_looked_at(self) -> None:
-        """Guards against bounds that add up to more than the whole.
+    def test_a_step_that_may_use_quarantined_workers_is_examined(self) -> None:
+        """Guards against bounds whose sum is above the total bound.
 
-        Half a second in which a step is passed over, beside 2 s of rest and
-        a question, is more than the 3 s for which work may stand still.
+        Skipping a blocked step for 0.5 s, after 2 s of quarantine and an advice
+        request, exceeds the 3 s for which work may make no progress.
         """
         tracked = self.tracked[0]
         tracked.quarantine(0, 100)
-        step = _waiting(StepSpec(1, _WHOLE))
+        step = _waiting(StepSpec(1, _FULL))
         waiting = WaitingStep(
             Timing(100, 110, 0, urgent=False),
             step,
             step.startable(),
         )
         before, after = 1.95, 2.1
-        waiting.note_no_room(self.pass_at(before, [], [tracked]))
+        waiting.mark_blocked(self.pass_at(before, [], [tracked]))
         this_pass = self.pass_at(after, [], [tracked])
         self.assertEqual(['a'], _usable(this_pass.workers, step))
         self.assertFalse(waiting.blocked(this_pass))
 
-    def test_work_beyond_its_share_goes_behind_what_is_owed(self) -> None:
+    def test_work_over_its_share_goes_behind_work_within_it(self) -> None:
         """Guards against a tenant that floods the cell and goes first."""
         this_pass = self.pass_at(_LONG_WAIT, self.tracked, [])
         since = _LONG_WAIT - 1.1
-        beyond = Timing(60, 61, since, urgent=False, over_share=True)
-        owed = Timing(12, 13, _LONG_WAIT - 0.5, urgent=False)
+        over = Timing(60, 61, since, urgent=False, over_share=True)
+        within = Timing(12, 13, _LONG_WAIT - 0.5, urgent=False)
         ranks = [
-            WaitingStep(timing, _waiting(StepSpec(1), began), []).rank(
+            WaitingStep(timing, _waiting(StepSpec(1), started), []).rank(
                 this_pass
             )
-            for timing, began in ((owed, _LONG_WAIT - 0.5), (beyond, since))
+            for timing, started in ((within, _LONG_WAIT - 0.5), (over, since))
         ]
         self.assertEqual(sorted(ranks), ranks)
 
-    def test_a_resting_worker_on_which_the_step_failed_is_left_out(
+    def test_a_quarantined_worker_that_failed_the_step_is_avoided(
         self,
     ) -> None:
-        """Guards against attempts used up on a worker that is broken."""
+        """Guards against attempts wasted on a broken worker."""
         tracked = self.tracked[0]
         tracked.quarantine(0, 100)
-        step = advised(StepSpec(1, _WHOLE), 'a', 'b')
+        step = advised(StepSpec(1, _FULL), 'a', 'b')
         step.tasks[0].waiting_since = 0
         step.recorded_waiting_since = 0
         step.failed_workers.note_failure(WorkerId('a'), _LONG_WAIT - 0.5)
         other = self.tracked[1]
         fill(other, _CORES)
-        workers = CandidateWorkers([other], _LONG_WAIT, resting=[tracked])
+        workers = CandidateWorkers([other], _LONG_WAIT, quarantined=[tracked])
         self.assertEqual([], _usable(workers, step))
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -1,4 +1,4 @@
-"""Tests of choosing workers for a step."""
+"""Tests of the selection of workers for a step."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def make_books(name: str, cores: int = 4, rack: str = 'r-1') -> TrackedWorker:
-    """Return the books of an idle worker."""
+    """Return an idle worker."""
     entry = msgspec.structs.replace(
         make_entry(name, cores),
         labels=('kind-a', rack),
@@ -50,30 +50,30 @@
     return [placement.tracked.worker for placement in chosen]
 
 
-class PlacingTest(TestCase):
-    def test_a_step_takes_what_has_room(self) -> None:
+class WorkerSelectionTest(TestCase):
+    def test_a_step_is_placed_as_far_as_capacity_allows(self) -> None:
         spec = StepSpec(3, size=Size(2000))
         self.assertEqual(['a', 'a'], _choose(spec, make_books('a')))
 
-    def test_a_gang_is_placed_whole_or_not(self) -> None:
+    def test_a_gang_is_placed_as_a_whole_or_not_at_all(self) -> None:
         spec = StepSpec(3, size=Size(2000), gang=True)
         self.assertEqual([], _choose(spec, make_books('a')))
         self.assertEqual(
             3, len(_choose(spec, make_books('a'), make_books('b')))
         )
 
-    def test_the_tightest_worker_goes_first(self) -> None:
+    def test_the_worker_with_least_free_capacity_goes_first(self) -> None:
         spec = StepSpec(1, size=Size(2000))
         self.assertEqual(
             ['b'], _choose(spec, make_books('a', 8), make_books('b', 2))
         )
 
-    def test_data_draws_tasks_to_its_rack(self) -> None:
+    def test_tasks_prefer_the_rack_of_their_data(self) -> None:
         spec = StepSpec(1, size=Size(1000), data_rack='r-2')
         near = make_books('near', 8, 'r-2')
         self.assertEqual(['near'], _choose(spec, make_books('far', 2), near))
 
-    def test_a_gang_that_shares_much_stays_in_one_rack(self) -> None:
+    def test_a_one_rack_gang_is_placed_within_one_rack(self) -> None:
         spec = StepSpec(2, size=Size(2000), gang=True, one_rack=True)
         racks = make_books('a', 2, 'r-1'), make_books('b', 4, 'r-2')
         self.assertEqual(['b', 'b'], _choose(spec, *racks))
@@ -84,7 +84,7 @@
             2, len(_choose(spec, make_books('a'), make_books('b')))
         )
 
-    def test_a_label_is_needed(self) -> None:
+    def test_a_worker_needs_the_label_of_the_step(self) -> None:
         self.assertTrue(
             matches_worker(StepSpec(1, label='kind-a'), make_books('a'))
         )
@@ -92,18 +92,20 @@
             matches_worker(StepSpec(1, label='kind-b'), make_books('a'))
         )
 
-    def test_what_fills_is_kept_from_what_serves(self) -> None:
+    def test_best_effort_is_incompatible_with_latency_sensitive(self) -> None:
         tracked = make_books('a')
-        serving = StepSpec(1, size=Size(10), target=0.1, lasting=True)
-        filling = StepSpec(1, size=Size(10), best_effort=True)
-        step = make_step(serving)
+        latency_sensitive_spec = StepSpec(
+            1, size=Size(10), target=0.1, lasting=True
+        )
+        best_effort_spec = StepSpec(1, size=Size(10), best_effort=True)
+        step = make_step(latency_sensitive_spec)
         key = RunKey(TaskKey(f'{step.key}.0'), RunNumber(1))
         run = PlacedRun(key, Size(10), step.tasks[0], 0)
         tracked.allocate(run, step.key)
-        self.assertFalse(tracked.is_compatible(filling))
-        self.assertTrue(tracked.is_compatible(serving))
+        self.assertFalse(tracked.is_compatible(best_effort_spec))
+        self.assertTrue(tracked.is_compatible(latency_sensitive_spec))
         tracked.release(key)
-        self.assertTrue(tracked.is_compatible(filling))
+        self.assertTrue(tracked.is_compatible(best_effort_spec))
 
     def test_urgent_work_leaves_slower_workers_to_other_work(self) -> None:
         slow, usual = make_books('slow'), make_books('usual', cores=8)
@@ -119,7 +121,7 @@
             chosen = choose_workers(step, step.startable(), [slow, usual])
             self.assertEqual(expected, chosen[0].tracked.worker)
 
-    def test_a_gang_member_that_is_done_does_not_stand_still(self) -> None:
+    def test_a_finished_gang_member_is_not_stalled(self) -> None:
         step = make_step(StepSpec(2, gang=True))
         key = RunKey(step.tasks[0].key, RunNumber(1))
         run = PlacedRun(key, Size(), step.tasks[0], 0)
--- a/orchidrail/shard/worker_selection.py
+++ b/orchidrail/shard/worker_selection.py
@@ -1,4 +1,4 @@
-"""Choosing workers for the tasks of a step that may start."""
+"""Selects workers for the startable tasks of a step."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 
 class Placement(NamedTuple):
-    """A task and the worker chosen for it."""
+    """A task and the worker selected for it."""
 
     task: Task
     tracked: TrackedWorker
 
 
 def matches_worker(spec: StepSpec, tracked: TrackedWorker) -> bool:
-    """Whether the worker is of the kind and size that the step needs."""
+    """Whether the worker has the label and size that the step needs."""
     if spec.label and spec.label not in tracked.entry.labels:
         return False
     return spec.charged.fits(tracked.entry.capacity)
@@ -39,55 +39,55 @@
 def choose_workers(
     step: StepState,
     tasks: list[Task],
-    open_books: list[TrackedWorker],
+    open_workers: list[TrackedWorker],
 ) -> list[Placement]:
-    """Place as many of `tasks` as have room; of a gang all or none.
+    """Place as many of `tasks` as fit; of a gang all or none.
 
     Parameters
     ----------
     step : StepState
     tasks : list of Task
-        Tasks of the step that may start.
-    open_books : list of TrackedWorker
+        Startable tasks of the step.
+    open_workers : list of TrackedWorker
         Workers that may be used.
     """
     spec = step.spec
     suspects = [task for task in tasks if task.suspected]
     if suspects and not spec.gang:
-        return _choose_apart(step, tasks, suspects, open_books)
-    ordered = _ordered(step, open_books)
+        return _choose_isolated(step, tasks, suspects, open_workers)
+    ordered = _order_by_preference(step, open_workers)
     if suspects:
         ordered.sort(key=TrackedWorker.isolation_cost)
     if spec.one_rack and spec.gang:
-        within = _within_one_rack(step, tasks, ordered)
+        within = _choose_within_rack(step, tasks, ordered)
         if within:
             return within
-    chosen = _fill(step, tasks, ordered)
+    chosen = _assign(step, tasks, ordered)
     if spec.gang and len(chosen) < len(tasks):
         return []
     return chosen
 
 
-def _choose_apart(
+def _choose_isolated(
     step: StepState,
     tasks: list[Task],
     suspects: list[Task],
-    open_books: list[TrackedWorker],
+    open_workers: list[TrackedWorker],
 ) -> list[Placement]:
-    """Place suspected tasks each on a worker of its own.
+    """Place each suspected task on a worker without other new tasks.
 
-    They take the worker where least is lost if it crashes, and where nothing
-    else began of late that could be the cause. None waits for an empty one: in
-    a busy cell it would wait for long.
+    Each goes to the worker where a crash costs least, and where no other run
+    started recently that could be the cause of a crash. It does not wait for an
+    idle worker: on a busy cell that would take long.
     """
     others = [task for task in tasks if not task.suspected]
-    chosen = choose_workers(step, others, open_books) if others else []
+    chosen = choose_workers(step, others, open_workers) if others else []
     used = {placement.tracked.worker for placement in chosen}
     spec = step.spec
     for task in suspects:
         fitting = [
             tracked
-            for tracked in open_books
+            for tracked in open_workers
             if tracked.worker not in used
             and tracked.slots_for(step.key, spec.charged, spec.most_per_worker)
             > 0
@@ -100,21 +100,23 @@
     return chosen
 
 
-def _ordered(
+def _order_by_preference(
     step: StepState,
-    open_books: list[TrackedWorker],
+    open_workers: list[TrackedWorker],
 ) -> list[TrackedWorker]:
-    """Best worker first: near the data, of a good pace, then the tightest.
-
-    Workers on which tasks of the step failed come last, the worst at the end:
-    a broken one would take the same task again and again. Urgent work goes to
-    usual workers and leaves slower ones to work that has time. Tight packing
-    keeps whole stretches of other workers free for wide steps.
+    """Order the workers by preference.
+
+    Workers in the data's rack come first, then workers of a suitable speed
+    class, then those with the least free capacity. Workers on which tasks of
+    the step failed come last, most failures at the end: a broken worker would
+    otherwise get the same task again and again. Urgent work prefers workers of
+    typical speed and leaves slower ones to other work. Tight packing keeps
+    large free capacity on other workers for wide steps.
     """
     rack = step.spec.data_rack
     order = _URGENT_ORDER if step.job.urgent else _OTHER_ORDER
     return sorted(
-        open_books,
+        open_workers,
         key=lambda tracked: (
             step.failed_workers.count(tracked.worker),
             bool(rack) and tracked.entry.rack != rack,
@@ -124,34 +126,34 @@
     )
 
 
-def _fill(
+def _assign(
     step: StepState,
     tasks: list[Task],
     ordered: list[TrackedWorker],
 ) -> list[Placement]:
     spec = step.spec
     chosen: list[Placement] = []
-    left = iter(tasks)
+    remaining = iter(tasks)
     wanted = len(tasks)
     for tracked in ordered:
-        room = tracked.slots_for(step.key, spec.charged, spec.most_per_worker)
-        for _ in range(min(room, wanted - len(chosen))):
-            chosen.append(Placement(next(left), tracked))
+        slots = tracked.slots_for(step.key, spec.charged, spec.most_per_worker)
+        for _ in range(min(slots, wanted - len(chosen))):
+            chosen.append(Placement(next(remaining), tracked))
         if len(chosen) == wanted:
             break
     return chosen
 
 
-def _within_one_rack(
+def _choose_within_rack(
     step: StepState,
     tasks: list[Task],
     ordered: list[TrackedWorker],
 ) -> list[Placement]:
-    books_by_rack: dict[str, list[TrackedWorker]] = defaultdict(list)
+    tracked_by_rack: dict[str, list[TrackedWorker]] = defaultdict(list)
     for tracked in ordered:
-        books_by_rack[tracked.entry.rack].append(tracked)
-    for rack_books in books_by_rack.values():
-        chosen = _fill(step, tasks, rack_books)
+        tracked_by_rack[tracked.entry.rack].append(tracked)
+    for rack_workers in tracked_by_rack.values():
+        chosen = _assign(step, tasks, rack_workers)
         if len(chosen) == len(tasks):
             return chosen
     return []
