--- a/orchidrail/shard/crash_attribution.py
+++ b/orchidrail/shard/crash_attribution.py
@@ -1,4 +1,4 @@
-"""Judges which tasks the end of a worker speaks against, and clears them."""
+"""Attributes crashes of workers to tasks, and clears tasks of suspicion."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 import structlog
 
 from orchidrail.shard.crash_evidence import (
-    CrashWatch,
+    CrashRateMonitor,
     IncarnationEnd,
     LostRun,
+    added_suspicion,
     lost_runs,
-    suspicion_of,
 )
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
@@ -20,16 +20,17 @@
 from orchidrail.work.step import Task
 
 _log = structlog.get_logger()
-#: Time at work after which a task is no longer suspected: far longer than any
-#: trial; a task that lasts would add up the crashes of days.
+#: Run time after which a task is no longer suspected: far longer than any
+#: isolated retry. Without it a long-running task would accumulate the crashes
+#: of days.
 _CLEARED_AFTER: Seconds = 10.0
-#: Time without a crash after which an address counts as any other: several
-#: times what a worker that goes down and up by turns is up.
-_STEADY_AFTER: Seconds = 30.0
+#: Time without a crash after which an address counts as stable: several times
+#: the uptime of a worker that goes down and up by turns.
+_STABLE_AFTER: Seconds = 30.0
 
 
-class CrashJudge:
-    """Keeps the suspicion of a shard's tasks.
+class CrashAttributor:
+    """Maintains the suspicion of a shard's tasks.
 
     Parameters
     ----------
@@ -37,26 +38,26 @@
     """
 
     def __init__(self, state: ShardState) -> None:
-        """Suspect nothing."""
+        """Start without suspicion."""
         self._state = state
-        self._watch = CrashWatch()
-        #: Suspicion that goes if the worker turns out to be alive.
-        self._doubted_by_worker: dict[WorkerId, list[tuple[Task, int]]] = {}
+        self._crash_rate = CrashRateMonitor()
+        #: Suspicion that is retracted if the worker turns out to be alive.
+        self._retractable_by_worker: dict[WorkerId, list[tuple[Task, int]]] = {}
         self._crashed_at_by_address: dict[Address, Seconds] = {}
 
-    def note_end(
+    def record_end(
         self,
         worker: WorkerId,
         unresolved: list[tuple[Task, RunNumber]],
         end: IncarnationEnd,
     ) -> None:
-        """Take that a worker's life is over, with all that ran there.
+        """Record the end of a worker's incarnation and of all its runs.
 
         Parameters
         ----------
         unresolved : list of (Task, int)
-            Runs that an earlier owner placed there; what it saw of them is not
-            known.
+            Runs that a previous owner placed there; its observations of them
+            are not known.
         """
         self._state.metrics.workers_ended.labels(end.value).inc()
         tracked = self._state.tracked_by_worker.get(worker)
@@ -66,71 +67,73 @@
                 _log_lost(tracked, run, end)
             lost += lost_runs(tracked)
         if end is not IncarnationEnd.LEFT:
-            self._suspect(worker, lost, end)
+            self._add_suspicion(worker, lost, end)
 
-    def take_back(self, worker: WorkerId) -> None:
-        """Take back what was held against tasks of a worker that is alive."""
-        for task, added in self._doubted_by_worker.pop(worker, ()):
+    def retract(self, worker: WorkerId) -> None:
+        """Retract the suspicion of tasks whose worker is alive."""
+        for task, added in self._retractable_by_worker.pop(worker, ()):
             task.step.job.retract_crash(task, added)
             _log.info('suspicion taken back', task=task.key, worker=worker)
 
-    def note_outlived(self, tracked: TrackedWorker, run: PlacedRun) -> None:
-        """End a trial that is past; clear a task that has worked for long."""
-        if run.key in tracked.isolated_runs and tracked.proven(run):
+    def note_survival(self, tracked: TrackedWorker, run: PlacedRun) -> None:
+        """End an isolated retry past its startup window; clear an old task."""
+        if run.key in tracked.isolated_runs and tracked.survived_startup(run):
             tracked.isolated_runs.discard(run.key)
             self._state.pass_requested.set()
         task = run.task
-        cleared = tracked.outlived(run) > _CLEARED_AFTER
+        cleared = tracked.uptime_since_start(run) > _CLEARED_AFTER
         if task is not None and task.suspicion and cleared:
             task.suspicion = 0
             _log.info('task cleared', task=task.key, worker=tracked.worker)
 
-    def _suspect(
+    def _add_suspicion(
         self,
         worker: WorkerId,
-        suspects: list[LostRun],
+        runs: list[LostRun],
         end: IncarnationEnd,
     ) -> None:
         now = self._state.clock()
-        every = self._state.tracked_by_worker
-        calm = self._watch.calm(every.values(), now)
-        tracked = every.get(worker)
-        self._watch.note_end(tracked, now)
+        all_tracked = self._state.tracked_by_worker
+        low_crash_rate = self._crash_rate.is_low(all_tracked.values(), now)
+        tracked = all_tracked.get(worker)
+        self._crash_rate.record_end(tracked, now)
         if tracked is not None:
-            calm = calm and now - tracked.crashed_at > _STEADY_AFTER
-            self._note_address(tracked.entry.address, now)
-        doubted: list[tuple[Task, int]] = []
-        for lost in suspects:
+            low_crash_rate = (
+                low_crash_rate and now - tracked.crashed_at > _STABLE_AFTER
+            )
+            self._record_crash_at(tracked.entry.address, now)
+        retractable: list[tuple[Task, int]] = []
+        for lost in runs:
             job = lost.task.step.job
-            added = suspicion_of(lost, end, calm)
+            added = added_suspicion(lost, end, low_crash_rate)
             if not job.ended and job.note_crash(lost.task, lost.run, added):
-                doubted.append((lost.task, added))
-                self._log_suspected(worker, lost, added, calm)
-        self._keep_doubted(
-            worker, [] if end is IncarnationEnd.CRASHED else doubted
+                retractable.append((lost.task, added))
+                self._log_suspected(worker, lost, added, low_crash_rate)
+        self._keep_retractable(
+            worker, [] if end is IncarnationEnd.CRASHED else retractable
         )
 
     def last_crash_at(self, address: Address) -> Seconds:
-        """Return when a worker at an address crashed last."""
+        """Return when a worker at an address last crashed."""
         return self._crashed_at_by_address.get(address, -math.inf)
 
-    def _note_address(self, address: Address, now: Seconds) -> None:
-        """Remember a crash for the lives that follow at the same address."""
+    def _record_crash_at(self, address: Address, now: Seconds) -> None:
+        """Record a crash for later incarnations at the same address."""
         self._crashed_at_by_address[address] = now
         for tracked in self._state.tracked_by_worker.values():
             if tracked.entry.address == address:
                 tracked.crashed_at = now
 
-    def _keep_doubted(
+    def _keep_retractable(
         self,
         worker: WorkerId,
-        doubted: list[tuple[Task, int]],
+        retractable: list[tuple[Task, int]],
     ) -> None:
-        """Remember what may be taken back, as long as its jobs are open."""
-        self._doubted_by_worker[worker] = doubted
-        self._doubted_by_worker = {
+        """Keep the suspicion that may be retracted while its jobs are open."""
+        self._retractable_by_worker[worker] = retractable
+        self._retractable_by_worker = {
             name: rows
-            for name, rows in self._doubted_by_worker.items()
+            for name, rows in self._retractable_by_worker.items()
             if any(not task.step.job.ended for task, _ in rows)
         }
 
@@ -139,12 +142,12 @@
         worker: WorkerId,
         lost: LostRun,
         added: int,
-        calm: bool,
+        low_crash_rate: bool,
     ) -> None:
         task = lost.task
         job = task.step.job
-        given_up = job.cause is FailureCause.CRASHED_WORKERS
-        outcome = 'given up' if given_up else 'suspected'
+        abandoned = job.cause is FailureCause.CRASHED_WORKERS
+        outcome = 'given up' if abandoned else 'suspected'
         self._state.metrics.task_crashes.labels(
             self._state.metrics.queue_label(job.queue.name),
             outcome,
@@ -154,9 +157,9 @@
             task=task.key,
             run=lost.run,
             worker=worker,
-            young=lost.young,
-            trial=lost.trial,
-            calm=calm,
+            young=lost.recent,
+            trial=lost.isolated,
+            calm=low_crash_rate,
             added=added,
             suspicion=task.suspicion,
             crashes=task.crashes,
@@ -169,9 +172,9 @@
     run: PlacedRun,
     end: IncarnationEnd,
 ) -> None:
-    """Tell what is known of a run whose worker is gone.
+    """Log a run whose worker is gone.
 
-    Runs that had just begun may be the cause; those that it outlived for
+    Recently started runs may be the cause; those that the worker survived for
     long are not.
     """
     _log.info(
@@ -182,6 +185,6 @@
         reason=end.value,
         ordered=run.ordered,
         answered=run.confirmed_at < math.inf,
-        outlived=round(tracked.outlived(run), 3),
+        outlived=round(tracked.uptime_since_start(run), 3),
         others=len(tracked.run_by_key) - 1,
     )
--- a/orchidrail/shard/crash_evidence.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -1,11 +1,11 @@
-"""Workers that end while tasks run there, and which task is to blame.
-
-A worker that crashes tells of no end, so its owner judges by what it saw. A
-task that crashes its workers does so soon after its start; one whose start the
-worker outlived is hardly the cause. A task that may be the cause is tried again
-apart: on the worker with the fewest others at stake, to which nothing else goes
-until the trial is past. Only a worker that ends under a trial, while few others
-end, is strong evidence.
+"""Evidence that a task crashes the workers that run it.
+
+A worker that crashes reports no ends, so its owner goes by what it observed. A
+task that crashes its workers does so soon after its start; a task whose startup
+window the worker survived is hardly the cause. A suspected task is retried in
+isolation, on the worker where a crash would affect the fewest other runs, and
+that worker gets no other work until the startup window is past. Only a worker
+that ends during an isolated retry, while few others end, is strong evidence.
 """
 
 from __future__ import annotations
@@ -19,99 +19,104 @@
 from orchidrail.types import RunNumber, Seconds
 from orchidrail.work.step import Task
 
-#: Ends of others within this time tell whether workers crash anyway: some
-#: crash, are back after 3 s and crash again.
-_LATELY: Seconds = 10.0
-#: Share of the workers that may have ended lately in calm times. A worker then
-#: ends by chance within a trial's second once in 65 times at the most.
-_CALM_SHARE = 0.15
+#: Period over which ends of other workers are counted as background crash rate:
+#: some workers crash, are back after 3 s and crash again.
+_CRASH_RATE_WINDOW: Seconds = 10.0
+#: Maximum share of the workers that may have ended within that period for the
+#: crash rate to count as low. A worker then ends by chance within the second of
+#: an isolated retry at most once in 65 times.
+_MAX_LOW_SHARE = 0.15
 
 
 class IncarnationEnd(Enum):
-    """How a worker's life ended, as its owner saw it."""
+    """How an incarnation of a worker ended, as observed by its owner."""
 
-    #: Another life answers at its address, and it had not left by itself.
+    #: Another incarnation responds at its address, and it had not left
+    #: voluntarily before.
     CRASHED = 'crashed'
-    #: It had said, or shown, that it leaves.
+    #: It had announced, or shown, that it leaves.
     LEFT = 'left'
-    #: All leases have run out unheard: it may be cut off, and alive.
+    #: All leases have expired without a response: it may be partitioned, and
+    #: alive.
     LEASE_EXPIRED = 'lease ended'
-    #: A worker of an earlier owner that this one has never reached.
+    #: A worker of a previous owner that this one has never reached.
     NEVER_REACHED = 'never met'
 
 
 class LostRun(NamedTuple):
-    """A run whose worker's life has ended, and what was known of it.
+    """A run whose worker's incarnation has ended, and the evidence on it.
 
     Parameters
     ----------
-    young : bool
-        The worker was not heard for long enough after its start.
-    trial : bool
-        It was tried apart, so that the end tells of it.
+    recent : bool
+        The worker did not respond for long enough after the run's start.
+    isolated : bool
+        It was an isolated retry, so that the end is evidence against it.
     """
 
     task: Task
     run: RunNumber
-    young: bool
-    trial: bool
+    recent: bool
+    isolated: bool
 
 
-class _Sight(NamedTuple):
-    """What an end is judged by; `calm` says that few others ended."""
+class _Evidence(NamedTuple):
+    """Evidence by which the suspicion that an end adds is chosen."""
 
-    young: bool
-    trial: bool
-    calm: bool
+    recent: bool
+    isolated: bool
+    low_crash_rate: bool
 
 
 #: Suspicion that one end adds. `SUSPICION_LIMIT` is reached by a first crash
-#: and two trials in calm times, since two crashes may be chance, and by four
-#: at the latest, however many workers crash by chance: users allow two starts
-#: after the third. A task that ends its workers after seconds is found so in
-#: calm times only.
-_SUSPICION_BY_SIGHT = {
-    _Sight(young=True, trial=True, calm=True): 5,
-    _Sight(young=True, trial=True, calm=False): 2,
-    _Sight(young=True, trial=False, calm=True): 2,
-    _Sight(young=True, trial=False, calm=False): 2,
-    _Sight(young=False, trial=True, calm=True): 3,
-    _Sight(young=False, trial=True, calm=False): 0,
-    _Sight(young=False, trial=False, calm=True): 1,
-    _Sight(young=False, trial=False, calm=False): 0,
+#: and two isolated retries while the crash rate is low, since two crashes may
+#: be a coincidence. It is reached by four crashes at the latest, however many
+#: workers crash by chance: users allow two starts after the third. A task that
+#: crashes its workers only after seconds is detected only while the crash rate
+#: is low.
+_SUSPICION_BY_EVIDENCE = {
+    _Evidence(recent=True, isolated=True, low_crash_rate=True): 5,
+    _Evidence(recent=True, isolated=True, low_crash_rate=False): 2,
+    _Evidence(recent=True, isolated=False, low_crash_rate=True): 2,
+    _Evidence(recent=True, isolated=False, low_crash_rate=False): 2,
+    _Evidence(recent=False, isolated=True, low_crash_rate=True): 3,
+    _Evidence(recent=False, isolated=True, low_crash_rate=False): 0,
+    _Evidence(recent=False, isolated=False, low_crash_rate=True): 1,
+    _Evidence(recent=False, isolated=False, low_crash_rate=False): 0,
 }
 
 
 def lost_runs(tracked: TrackedWorker) -> list[LostRun]:
-    """Return the runs of a worker that may have to do with its end.
+    """Return the runs of a worker that may have caused its end.
 
-    Also those that are being stopped: the crash may have broken off the starts
-    of a gang's other members, for which its run there was to be stopped.
+    Runs that are being stopped are included: the crash may have interrupted the
+    starts of other members of a gang, for which its run there was to be
+    stopped.
     """
     runs = [run for run in tracked.run_by_key.values() if run.ordered]
-    young = [run for run in runs if not tracked.proven(run)]
+    recent = [run for run in runs if not tracked.survived_startup(run)]
     return [
         LostRun(
             run.task,
             run.key.run,
-            not tracked.proven(run),
-            run.trial and _tells(run, young),
+            not tracked.survived_startup(run),
+            run.isolated and _is_evidence(run, recent),
         )
         for run in runs
         if run.task is not None
     ]
 
 
-def _tells(trial: PlacedRun, young: list[PlacedRun]) -> bool:
-    """Whether a crash under a trial tells of it, and not of another run.
+def _is_evidence(isolated: PlacedRun, recent: list[PlacedRun]) -> bool:
+    """Whether a crash during an isolated retry is evidence against it.
 
-    While the trial is young no other run may be, but for the members of its own
-    gang. Later others begin beside it all the time in a busy cell, so a task
-    that ends its workers after seconds would never be alone.
+    While the retry itself is recent, no other run may be, except members of its
+    own gang. Later, other runs start beside it all the time in a busy cell, so
+    a task that crashes its workers after seconds would never be alone.
     """
-    if trial not in young:
+    if isolated not in recent:
         return True
-    return all(_same_gang(run, trial) for run in young)
+    return all(_same_gang(run, isolated) for run in recent)
 
 
 def _same_gang(one: PlacedRun, other: PlacedRun) -> bool:
@@ -122,34 +127,42 @@
     return one.task.step is other.task.step and one.task.step.spec.gang
 
 
-class CrashWatch:
-    """Knows whether workers end without a task that is suspected."""
+class CrashRateMonitor:
+    """Tracks the rate at which workers end without a suspected task."""
 
     def __init__(self) -> None:
-        """Start with no end seen."""
-        self._ends: deque[Seconds] = deque()
-
-    def note_end(self, tracked: TrackedWorker | None, now: Seconds) -> None:
-        """Take a life's end that nobody announced."""
-        if tracked is None or not tracked.runs_suspect:
-            self._ends.append(now)
-
-    def calm(self, every: Iterable[TrackedWorker], now: Seconds) -> bool:
-        """Whether few workers have ended lately, or are silent now."""
-        while self._ends and now - self._ends[0] > _LATELY:
-            self._ends.popleft()
-        workers = list(every)
-        silent = sum(
-            tracked.session.stopped_responding and not tracked.runs_suspect
+        """Start without ends."""
+        self._end_times: deque[Seconds] = deque()
+
+    def record_end(self, tracked: TrackedWorker | None, now: Seconds) -> None:
+        """Record the unannounced end of an incarnation."""
+        if tracked is None or not tracked.has_suspected_run:
+            self._end_times.append(now)
+
+    def is_low(
+        self, tracked_workers: Iterable[TrackedWorker], now: Seconds
+    ) -> bool:
+        """Whether few workers ended recently or are unresponsive now."""
+        while self._end_times and now - self._end_times[0] > _CRASH_RATE_WINDOW:
+            self._end_times.popleft()
+        workers = list(tracked_workers)
+        unresponsive = sum(
+            tracked.session.stopped_responding and not tracked.has_suspected_run
             for tracked in workers
         )
-        return len(self._ends) + silent < _CALM_SHARE * len(workers)
+        return len(self._end_times) + unresponsive < _MAX_LOW_SHARE * len(
+            workers
+        )
 
 
-def suspicion_of(lost: LostRun, end: IncarnationEnd, calm: bool) -> int:
-    """Return what a worker's end adds to the suspicion of a task."""
+def added_suspicion(
+    lost: LostRun, end: IncarnationEnd, low_crash_rate: bool
+) -> int:
+    """Return the suspicion that a worker's end adds to a task."""
     if end is IncarnationEnd.LEFT:
         return 0
-    # Behind a cut many runs go at once, and the workers may be alive.
-    calm = calm and end is IncarnationEnd.CRASHED
-    return _SUSPICION_BY_SIGHT[_Sight(lost.young, lost.trial, calm)]
+    # A partition ends many runs at once, and the workers may be alive.
+    low_crash_rate = low_crash_rate and end is IncarnationEnd.CRASHED
+    return _SUSPICION_BY_EVIDENCE[
+        _Evidence(lost.recent, lost.isolated, low_crash_rate)
+    ]
--- a/orchidrail/shard/inherited_runs.py
+++ b/orchidrail/shard/inherited_runs.py
@@ -1,4 +1,4 @@
-"""Runs that an owner before has placed, as their workers are heard."""
+"""Runs that a previous owner placed, resolved as their workers respond."""
 
 from __future__ import annotations
 
@@ -15,37 +15,37 @@
 from orchidrail.workers.port import ActiveRun, RunKey
 
 
-class EarlierRuns:
-    """Takes over what workers list, and settles what they don't.
+class InheritedRuns:
+    """Adopts the inherited runs that workers list, and resolves the others.
 
     Parameters
     ----------
     state : ShardState
     ends : RunEnds
-    give_up : callable
-        Takes all that a worker ran for ended.
+    presume_lost : callable
+        Presumes a worker lost, with all its runs.
     """
 
     def __init__(
         self,
         state: ShardState,
         ends: RunEnds,
-        give_up: Callable[[WorkerId, IncarnationEnd], None],
+        presume_lost: Callable[[WorkerId, IncarnationEnd], None],
     ) -> None:
-        """Go by what the journal has told."""
+        """Start with the state that was read from the journal."""
         self._state = state
         self._ends = ends
-        self._give_up = give_up
+        self._presume_lost = presume_lost
 
     def adopt(self, tracked: TrackedWorker, active: ActiveRun) -> PlacedRun:
-        """Take over a run that an earlier owner started."""
+        """Adopt a run that a previous owner started."""
         task = self._state.find_task(active.key.task)
         now = self._state.clock()
-        left = self._state.unresolved_runs.lingering_on(
+        lingering = self._state.unresolved_runs.lingering_on(
             tracked.worker,
             active.key,
         )
-        size = left.size if left else None
+        size = lingering.size if lingering else None
         run = PlacedRun(
             active.key,
             task.step.spec.charged if task else size,
@@ -53,42 +53,46 @@
             now,
             confirmed_at=now,
             ordered=True,
-            trial=task is not None and task.suspected,
-            left=left,
+            isolated=task is not None and task.suspected,
+            left=lingering,
         )
         tracked.allocate(run, active.key.task.rpartition('.')[0])
-        if task is not None and _unlogged(task, active.key.run, tracked):
+        if task is not None and _missing_from_journal(
+            task, active.key.run, tracked
+        ):
             task.step.job.place(task, active.key.run, tracked.worker)
             self._state.save(task.step.job)
             self._state.changed_jobs.add(task.step.job.job_id)
         return run
 
     def resolve(self, tracked: TrackedWorker, seen: set[RunKey]) -> None:
-        """Settle the runs that an earlier owner placed on this worker.
+        """Resolve the inherited runs of a worker that has responded.
 
-        One that answers has no other life any more. The journals of older
-        versions don't tell lives apart.
+        Earlier incarnations of the worker are over. Journals of older versions
+        don't distinguish incarnations.
         """
         name = tracked.entry.name
         unresolved = self._state.unresolved_runs
         for worker in list(unresolved):
             if split_incarnation_id(worker)[0] != name:
                 continue
-            gone = [
+            missing = [
                 (task, number)
                 for task, number in unresolved.pop_runs(worker)
                 if RunKey(task.key, number) not in seen
             ]
             if worker not in (tracked.worker, name):
-                unresolved[worker] = gone
-                self._give_up(worker, IncarnationEnd.CRASHED)
+                unresolved[worker] = missing
+                self._presume_lost(worker, IncarnationEnd.CRASHED)
                 continue
-            for task, number in gone:
+            for task, number in missing:
                 self._ends.requeue(task, number)
 
 
-def _unlogged(task: Task, run: RunNumber, tracked: TrackedWorker) -> bool:
-    """Whether the journal doesn't tell that a run is on this life."""
+def _missing_from_journal(
+    task: Task, run: RunNumber, tracked: TrackedWorker
+) -> bool:
+    """Whether the journal doesn't show a run on this incarnation."""
     if task.phase is TaskPhase.DONE or run < task.run:
         return False
     return run > task.run or task.worker != tracked.worker
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -1,4 +1,4 @@
-"""What the end of a run means for its job, its worker and its gang."""
+"""Effects of the end of a run on its job, its worker and its gang."""
 
 from __future__ import annotations
 
@@ -19,16 +19,16 @@
 from orchidrail.workers.port import EndedRun, RunEnding, RunKey
 
 _log = structlog.get_logger()
-#: Time at work after which a run that lasts speaks for its worker: one that is
-#: to fail with whatever its worker starts has failed by then.
-_SOUND_AFTER: Seconds = 3.0
+#: Run time after which a long-running task counts as a success of its worker:
+#: where a worker fails whatever it starts, the task has failed by then.
+_SUCCESS_AFTER: Seconds = 3.0
 
 
 class RunEnds:
-    """Settles the jobs of runs that have ended.
+    """Updates the jobs of runs that have ended.
 
-    Jobs that a run's end has touched are gathered, then settled together, so
-    that each is written once.
+    Jobs affected by the ends of one listing are collected and saved together,
+    so that each is written once.
 
     Parameters
     ----------
@@ -49,15 +49,15 @@
         self._state = state
         self._stop = stop
         self._stop_job = stop_job
-        self._standings = QuarantinePolicy()
-        self._touched_by_id: dict[str, Job] = {}
+        self._quarantine_policy = QuarantinePolicy()
+        self._changed_job_by_id: dict[str, Job] = {}
 
-    def end(
+    def apply_end(
         self,
         tracked: TrackedWorker,
         ended: EndedRun,
     ) -> None:
-        """Take an end that a worker has told of."""
+        """Apply the end of a run that a worker reports."""
         run = tracked.release(ended.key)
         task = self._state.find_task(ended.key.task)
         if task is None:
@@ -67,14 +67,14 @@
         job.end_run(task, ended.key.run, ended.ending, ended.checkpoint)
         if before == (task.phase, task.run, task.failures):
             return
-        self._touched_by_id[job.job_id] = job
+        self._changed_job_by_id[job.job_id] = job
         self._state.metrics.runs_ended.labels(
             self._state.metrics.queue_label(job.queue.name),
             ended.ending.value,
         ).inc()
         if run is not None and ended.ending is RunEnding.DONE:
-            self._learn_pace(tracked, run, task)
-        self._judge(tracked, run, task, ended.ending)
+            self._record_speed(tracked, run, task)
+        self._record_outcome(tracked, run, task, ended.ending)
         if ended.ending is not RunEnding.DONE:
             _log.info(
                 'run ended',
@@ -88,22 +88,22 @@
             self._break_gang(task)
 
     def note_active(self, tracked: TrackedWorker, run: PlacedRun) -> None:
-        """Take that a run is at work; one that lasts has no other success.
+        """Count a long-running task at work as a success of its worker.
 
-        It counts once: it says nothing of what its worker starts later.
+        It counts once: it shows nothing about what its worker starts later.
         """
         if run.sound or run.task is None or not run.task.step.spec.lasting:
             return
-        if tracked.outlived(run) >= _SOUND_AFTER:
+        if tracked.uptime_since_start(run) >= _SUCCESS_AFTER:
             run.sound = True
-            self._standings.note_success(tracked.worker)
+            self._quarantine_policy.note_success(tracked.worker)
 
-    def lose(
+    def presume_ended(
         self,
         tracked: TrackedWorker,
         run: PlacedRun,
     ) -> None:
-        """Take a run for ended that left no end behind."""
+        """Release a run that is presumed ended without a report."""
         tracked.release(run.key)
         if run.task is not None:
             self.requeue(run.task, run.key.run)
@@ -113,78 +113,80 @@
         task: Task,
         number: RunNumber,
     ) -> None:
-        """Have a task wait again whose run is gone."""
+        """Put a task back into the queue after its run was lost."""
         if task.phase is not TaskPhase.PLACED or task.run != number:
             return
         job = task.step.job
         if self._state.job_by_id.get(job.job_id) is not job:
-            # It is over; its id may be that of another job by now.
+            # The job has ended; its id may belong to another job by now.
             return
         job.end_run(task, task.run, RunEnding.LAPSED, '')
-        self._touched_by_id[job.job_id] = job
+        self._changed_job_by_id[job.job_id] = job
         self._break_gang(task)
 
-    def settle_all(self) -> list[Job]:
-        """Save the jobs that ends have touched; end those that are over.
+    def save_changed(self) -> list[Job]:
+        """Save the jobs affected by ends; finish those that have ended.
 
         Returns
         -------
         These jobs.
         """
-        touched = list(self._touched_by_id.values())
-        self._touched_by_id.clear()
-        for job in touched:
-            self._settle(job)
-        return touched
+        changed = list(self._changed_job_by_id.values())
+        self._changed_job_by_id.clear()
+        for job in changed:
+            self._save(job)
+        return changed
 
-    def _learn_pace(
+    def _record_speed(
         self,
         tracked: TrackedWorker,
         run: PlacedRun,
         task: Task,
     ) -> None:
         spec = task.step.spec
-        took = self._state.clock() - run.confirmed_at
-        if not math.isfinite(took):
+        duration = self._state.clock() - run.confirmed_at
+        if not math.isfinite(duration):
             return
-        task.step.job.note_run(took, tracked.worker)
+        task.step.job.note_run(duration, tracked.worker)
         if spec.gang or task.checkpoint:
             return
-        paces = self._state.speeds
-        paces.note(
-            tracked.worker, task.step.job.queue.name, took, spec.estimate
+        estimator = self._state.speeds
+        estimator.note(
+            tracked.worker, task.step.job.queue.name, duration, spec.estimate
         )
-        tracked.speed_class = paces.of(tracked.worker)
+        tracked.speed_class = estimator.of(tracked.worker)
 
-    def _judge(
+    def _record_outcome(
         self,
         tracked: TrackedWorker,
         run: PlacedRun | None,
         task: Task,
         ending: RunEnding,
     ) -> None:
-        """Draw conclusions about the worker from how a run ended."""
+        """Record the end of a run as a success or a failure of its worker."""
         if ending is RunEnding.DONE:
-            self._standings.note_success(tracked.worker)
+            self._quarantine_policy.note_success(tracked.worker)
         if ending is not RunEnding.FAILED:
             return
         if run is not None and run.sound:
-            # What lasts may fail at any time, wherever it runs.
+            # A long-running task may fail at any time, on any worker.
             return
         now = self._state.clock()
         task.step.failed_workers.note_failure(tracked.worker, now)
-        rest = self._standings.note_failure(
+        quarantine_s = self._quarantine_policy.note_failure(
             tracked.worker,
             task.step.job.job_id,
             now,
             len(self._state.tracked_by_worker),
         )
-        if rest:
-            tracked.quarantine(now, rest)
-            _log.info('worker rests', worker=tracked.worker, seconds=rest)
+        if quarantine_s:
+            tracked.quarantine(now, quarantine_s)
+            _log.info(
+                'worker rests', worker=tracked.worker, seconds=quarantine_s
+            )
 
     def _break_gang(self, task: Task) -> None:
-        """Stop the other members of a gang that has lost one."""
+        """Stop the remaining members of a gang that has lost one."""
         if not task.step.spec.gang:
             return
         for member in task.step.tasks:
@@ -196,8 +198,8 @@
             if tracked is not None and run is not None:
                 self._stop(tracked, run)
 
-    def _settle(self, job: Job) -> Commit:
-        """Save a job after its runs changed; end what is left if it is over."""
+    def _save(self, job: Job) -> Commit:
+        """Save a job after its runs changed; if it has ended, stop the rest."""
         self._state.mark_changed(job)
         commit = self._state.save(job)
         if not job.ended:
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -1,4 +1,4 @@
-"""Starting and stopping runs, and following what workers tell of them."""
+"""Starts and stops runs, and tracks what workers report of them."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from orchidrail.background_tasks import BackgroundTasks
 from orchidrail.journal.writer import Commit
 from orchidrail.shard.colocation import best_effort_runs, best_effort_to_evict
-from orchidrail.shard.crash_attribution import CrashJudge
+from orchidrail.shard.crash_attribution import CrashAttributor
 from orchidrail.shard.crash_evidence import IncarnationEnd
-from orchidrail.shard.inherited_runs import EarlierRuns
+from orchidrail.shard.inherited_runs import InheritedRuns
 from orchidrail.shard.run_ends import RunEnds
 from orchidrail.shard.state import ShardState
 from orchidrail.shard.tracked_worker import (
@@ -38,10 +38,10 @@
 from orchidrail.workers.session import START_VALIDITY, WorkerSession
 
 _log = structlog.get_logger()
-_STOP_AGAIN: Seconds = 0.3
+_STOP_INTERVAL: Seconds = 0.3
 _MILLIS = 1000
 #: Results after which the worker has certainly not started the run.
-_NOT_STARTED = frozenset(
+_NOT_STARTED_RESULTS = frozenset(
     (
         OrderResult.FENCED,
         OrderResult.OLD_RUN,
@@ -54,8 +54,8 @@
         OrderResult.NOT_SENT,
     )
 )
-#: Results after which the worker gets no new work for a while.
-_REST_AFTER = frozenset(
+#: Results after which the worker is quarantined.
+_QUARANTINE_RESULTS = frozenset(
     (
         OrderResult.UNHEALTHY,
         OrderResult.NO_ROOM,
@@ -65,48 +65,54 @@
 
 
 class RunTracker:
-    """Fits `orchidrail.workers.session.Observer`.
+    """Implements `orchidrail.workers.session.Observer`.
 
     Parameters
     ----------
     state : ShardState
     on_fenced : callable
         Called when a worker has seen a newer owner.
-    stop_takes : float
-        Seconds after which a stopped run has surely ended.
+    stop_duration : float
+        Seconds after which a stopped run has certainly ended.
     """
 
     def __init__(
         self,
         state: ShardState,
         on_fenced: Callable[[], None],
-        stop_takes: Seconds,
+        stop_duration: Seconds,
     ) -> None:
         """Start without runs."""
-        self._stop_takes = stop_takes
+        self._stop_duration = stop_duration
         self._state = state
         self._ends = RunEnds(state, self.stop, self.stop_job)
-        self._judge = CrashJudge(state)
-        self._earlier = EarlierRuns(state, self._ends, self.give_up_worker)
-        self._fenced = on_fenced
+        self._crash_attributor = CrashAttributor(state)
+        self._inherited = InheritedRuns(
+            state, self._ends, self.presume_worker_lost
+        )
+        self._on_fenced = on_fenced
         self._tasks = BackgroundTasks('order')
 
     def close(self) -> None:
-        """Give up all orders in progress."""
+        """Cancel all orders in flight."""
         self._tasks.close()
 
     def launch(self, step: StepState, chosen: list[Placement]) -> None:
         """Place runs and order their starts once the journal has them."""
         if not step.job.started:
-            self._note_wait(step.job)
-        self._note_task_waits(step.job, chosen)
+            self._observe_wait(step.job)
+        self._observe_task_waits(step.job, chosen)
         run = step.next_run([placement.task for placement in chosen])
-        placed = [self._place(placement, run) for placement in chosen]
+        placed = [self._allocate(placement, run) for placement in chosen]
         commit = self._state.save(step.job)
         self._state.changed_jobs.add(step.job.job_id)
-        for one, placement in zip(placed, chosen, strict=True):
-            doubt = partial(self._doubt_start, one, placement.tracked)
-            self._tasks.spawn(self._start(commit, one, placement), doubt)
+        for placed_run, placement in zip(placed, chosen, strict=True):
+            mark_unconfirmed = partial(
+                self._mark_unconfirmed, placed_run, placement.tracked
+            )
+            self._tasks.spawn(
+                self._start(commit, placed_run, placement), mark_unconfirmed
+            )
         _log.info(
             'placed',
             job=step.job.job_id,
@@ -116,7 +122,7 @@
             epoch=self._state.writer.owner.epoch,
         )
 
-    def _note_wait(self, job: Job) -> None:
+    def _observe_wait(self, job: Job) -> None:
         waited = self._state.wall_clock() - job.record.accepted_at
         metrics = self._state.metrics
         label = metrics.queue_label(job.queue.name)
@@ -125,7 +131,7 @@
             max(0, waited)
         )
 
-    def _note_task_waits(self, job: Job, chosen: list[Placement]) -> None:
+    def _observe_task_waits(self, job: Job, chosen: list[Placement]) -> None:
         now = self._state.clock()
         metrics = self._state.metrics
         waiting = metrics.task_wait_seconds.labels(
@@ -137,28 +143,28 @@
             waiting.observe(0 if since is None else now - since)
 
     def stop_job(self, job: Job) -> None:
-        """Stop all that a job has placed anywhere."""
+        """Stop all runs of a job."""
         for tracked, run in self._runs_of(job):
             self.stop(tracked, run)
 
     def forget_job(self, job: Job) -> None:
-        """Give back the room of a job none of whose starts was sent."""
+        """Free the allocations of a job none of whose starts was sent."""
         for tracked, run in self._runs_of(job):
             tracked.release(run.key)
 
     def _runs_of(self, job: Job) -> list[tuple[TrackedWorker, PlacedRun]]:
-        """Return a job's runs that take room, with their workers."""
-        every = map(self._state.tracked_by_worker.get, job.workers)
+        """Return a job's allocated runs with their workers."""
+        tracked_workers = map(self._state.tracked_by_worker.get, job.workers)
         return [
             (tracked, run)
-            for tracked in every
+            for tracked in tracked_workers
             if tracked is not None
             for run in tracked.run_by_key.values()
             if run.task is not None and run.task.step.job is job
         ]
 
     def stop(self, tracked: TrackedWorker, run: PlacedRun) -> None:
-        """Order a run's stop, again until its end is known."""
+        """Order the stop of a run, repeatedly until its end is known."""
         if not run.stopping:
             run.stopping = True
             self._tasks.spawn(self._stop(tracked, run))
@@ -171,47 +177,47 @@
     ) -> list[Awaitable[bool]]:
         """See `Observer.on_listing`."""
         tracked = self._state.tracked_by_worker[session.worker]
-        self._judge.take_back(session.worker)
+        self._crash_attributor.retract(session.worker)
         seen: set[RunKey] = set()
         for active in listing.active:
             seen.add(active.key)
-            self._see_active(tracked, active)
+            self._apply_active(tracked, active)
         for ended in listing.ended:
             seen.add(ended.key)
-            self._ends.end(tracked, ended)
-        self._look_for_trouble(tracked)
-        self._take_gone(tracked, listing, seen, sent_at)
-        if self._ends.settle_all() or listing.ended:
+            self._ends.apply_end(tracked, ended)
+        self._check_runs(tracked)
+        self._presume_missing_ended(tracked, listing, seen, sent_at)
+        if self._ends.save_changed() or listing.ended:
             self._state.pass_requested.set()
-        # Ends listed again may still wait for the write of their first time.
+        # Ends that are listed again may still wait for their first write.
         return [self._state.writer.flush()] if listing.ended else []
 
-    def _take_gone(
+    def _presume_missing_ended(
         self,
         tracked: TrackedWorker,
         listing: Listing,
         seen: set[RunKey],
         sent_at: Seconds,
     ) -> None:
-        """Take the runs that a listing should show and doesn't for ended."""
+        """Presume the runs ended that a listing should show but doesn't."""
         for run in list(tracked.run_by_key.values()):
-            if run.key not in seen and _surely_gone(run, listing, sent_at):
-                self._note_gone(tracked, run, listing)
-                self._ends.lose(tracked, run)
+            if run.key not in seen and _certainly_ended(run, listing, sent_at):
+                self._log_missing(tracked, run, listing)
+                self._ends.presume_ended(tracked, run)
         if self._state.unresolved_runs:
-            self._earlier.resolve(tracked, seen)
+            self._inherited.resolve(tracked, seen)
 
-    def _note_gone(
+    def _log_missing(
         self,
         tracked: TrackedWorker,
         run: PlacedRun,
         listing: Listing,
     ) -> None:
-        """Tell what a run was taken for gone by, without an end heard."""
+        """Log why a run is presumed ended without a report of its end."""
         self._state.metrics.runs_not_listed.inc()
-        if run.in_doubt:
+        if run.is_unconfirmed:
             tracked.session.invalidate_orders()
-        acknowledged, heard = tracked.session.ending_progress
+        acknowledged, received = tracked.session.ending_progress
         _log.info(
             'run not listed',
             task=run.key.task,
@@ -222,7 +228,7 @@
             answered=run.confirmed_at < math.inf,
             stopping=run.stopping,
             acknowledged=acknowledged,
-            heard=heard,
+            heard=received,
         )
 
     def on_incarnation_ended(self, session: WorkerSession) -> None:
@@ -230,56 +236,63 @@
         tracked = self._state.tracked_by_worker.get(session.worker)
         left = tracked is not None and tracked.left_voluntarily()
         end = IncarnationEnd.LEFT if left else IncarnationEnd.CRASHED
-        self.give_up_worker(session.worker, end, session.next_incarnation)
+        self.presume_worker_lost(session.worker, end, session.next_incarnation)
         self._state.incarnation_ended.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
         """See `Observer.on_fenced`."""
-        _log.warning('fenced by a worker', worker=session.worker)
-        self._fenced()
+        _log.warning(
+            'fenced by a worker that has seen a newer owner',
+            worker=session.worker,
+        )
+        self._on_fenced()
 
     def last_crash_at(self, address: Address) -> Seconds:
-        """Return when a worker at an address crashed last."""
-        return self._judge.last_crash_at(address)
+        """Return when a worker at an address last crashed."""
+        return self._crash_attributor.last_crash_at(address)
 
-    def give_up_worker(
+    def presume_worker_lost(
         self,
         worker: WorkerId,
         end: IncarnationEnd,
-        next_life: WorkerId | None = None,
+        next_incarnation: WorkerId | None = None,
     ) -> None:
-        """Take all that a worker ran for ended.
+        """Presume all runs of a worker ended, and requeue their tasks.
 
-        Starts without an answer may still be carried out, by the next life
-        under the same name; their tasks wait until that one has seen a higher
-        fencing token and has told what it runs.
+        Unconfirmed starts may still be executed by the next incarnation under
+        the same name. Their tasks wait until it has seen a higher fencing token
+        and has listed its runs.
         """
         unresolved = self._state.unresolved_runs.pop_runs(worker)
-        self._judge.note_end(worker, unresolved, end)
+        self._crash_attributor.record_end(worker, unresolved, end)
         tracked = self._state.tracked_by_worker.get(worker)
         if tracked is not None:
             for run in list(tracked.run_by_key.values()):
-                if next_life is None or run.task is None or not run.in_doubt:
-                    self._ends.lose(tracked, run)
+                if (
+                    next_incarnation is None
+                    or run.task is None
+                    or not run.is_unconfirmed
+                ):
+                    self._ends.presume_ended(tracked, run)
                     continue
                 tracked.release(run.key)
                 unresolved.append((run.task, run.key.run))
-        if next_life is not None and unresolved:
-            self._state.unresolved_runs.add(next_life, unresolved)
+        if next_incarnation is not None and unresolved:
+            self._state.unresolved_runs.add(next_incarnation, unresolved)
             unresolved = []
         for task, number in unresolved:
             self._ends.requeue(task, number)
-        touched = self._ends.settle_all()
-        if touched:
+        changed = self._ends.save_changed()
+        if changed:
             _log.info(
                 'worker given up',
                 worker=worker,
                 reason=end.value,
-                jobs=[job.job_id for job in touched],
+                jobs=[job.job_id for job in changed],
             )
 
-    def _place(self, placement: Placement, gang_run: RunNumber) -> PlacedRun:
-        """Take the room for a run and note it in its job."""
+    def _allocate(self, placement: Placement, gang_run: RunNumber) -> PlacedRun:
+        """Allocate capacity for a run and record it in its job."""
         task, tracked = placement
         step = task.step
         run = gang_run if step.spec.gang else step.next_run([task])
@@ -291,20 +304,20 @@
             step.spec.charged,
             task,
             now,
-            trial=task.suspected,
+            isolated=task.suspected,
         )
         tracked.allocate(placed, step.key)
         return placed
 
-    def _look_after_trial(self, tracked: TrackedWorker) -> None:
-        """Look as soon as a listing can end a trial, to free its worker."""
+    def _poll_after_startup(self, tracked: TrackedWorker) -> None:
+        """Poll as soon as the startup window ends, to free the worker."""
         asyncio.get_running_loop().call_later(
             STARTUP_CRASH_WINDOW,
             tracked.session.poll_soon,
         )
 
-    def _doubt_start(self, run: PlacedRun, tracked: TrackedWorker) -> None:
-        """Take a start whose task failed for one without an answer."""
+    def _mark_unconfirmed(self, run: PlacedRun, tracked: TrackedWorker) -> None:
+        """Treat a start whose asyncio task failed as unconfirmed."""
         if run.start_deadline == math.inf:
             now = self._state.clock()
             run.start_deadline = (
@@ -320,11 +333,11 @@
         task, tracked = placement
         ticket = task.step.permits.ticket_by_worker.get(tracked.worker, '')
         job = task.step.job
-        if not await commit.wait() or not tracked.has(run):
+        if not await commit.wait() or not tracked.holds(run):
             return
         if run.stopping or job.ended or tracked.overcommitted:
-            # The worker's room may have shrunk since the run was placed.
-            self._not_started(tracked, run, OrderResult.NOT_SENT)
+            # The worker's capacity may have shrunk since the placement.
+            self._release_unstarted(tracked, run, OrderResult.NOT_SENT)
             return
         run.ordered = True
         answer, deadline = await tracked.session.start(
@@ -333,17 +346,17 @@
             task.step.checkpoint_for(task),
             ticket,
         )
-        # A start that was refused has nothing to do with its worker's end.
-        run.ordered = answer.result not in _NOT_STARTED
+        # A rejected start can't be the cause of its worker's end.
+        run.ordered = answer.result not in _NOT_STARTED_RESULTS
         tracked.session.handle_answer(answer)
         now = self._state.clock()
         self._state.metrics.worker_starts.labels(answer.result.value).inc()
-        if answer.result in _REST_AFTER:
+        if answer.result in _QUARANTINE_RESULTS:
             tracked.quarantine(now)
         if answer.result is OrderResult.TAKEN:
             run.confirmed_at = now
-            if run.trial:
-                self._look_after_trial(tracked)
+            if run.isolated:
+                self._poll_after_startup(tracked)
             return
         _log.info(
             'start not confirmed',
@@ -352,81 +365,82 @@
             worker=tracked.worker,
             result=answer.result.value,
         )
-        if answer.result in _NOT_STARTED:
-            self._not_started(tracked, run, answer.result)
+        if answer.result in _NOT_STARTED_RESULTS:
+            self._release_unstarted(tracked, run, answer.result)
         else:
             run.start_deadline = deadline
 
-    def _not_started(
+    def _release_unstarted(
         self,
         tracked: TrackedWorker,
         run: PlacedRun,
         result: OrderResult,
     ) -> None:
-        if not tracked.has(run) or run.task is None:
+        if not tracked.holds(run) or run.task is None:
             return
         if result is OrderResult.NO_TICKET:
             run.task.step.permits.drop_ticket(tracked.worker)
-        self._ends.lose(tracked, run)
-        self._ends.settle_all()
+        self._ends.presume_ended(tracked, run)
+        self._ends.save_changed()
 
     async def _stop(self, tracked: TrackedWorker, run: PlacedRun) -> None:
-        """Order a stop until the end is known: its lease is renewed till then.
+        """Repeat the stop order until the end is known.
 
-        A run that goes on takes room, and may keep its whole worker closed.
+        The lease is renewed meanwhile. A run that continues stays allocated,
+        and may keep its whole worker from getting work.
         """
-        while tracked.has(run) and not tracked.session.terminated:
+        while tracked.holds(run) and not tracked.session.terminated:
             answer = await tracked.session.stop(run.key)
             if answer.result is OrderResult.TAKEN:
-                # The worker will not start the run any more; what runs takes
-                # room until it has stopped.
-                run.confirmed_at = self._state.clock() + self._stop_takes
+                # The worker won't start the run any more; an active run stays
+                # allocated until it has stopped.
+                run.confirmed_at = self._state.clock() + self._stop_duration
             if answer.result is OrderResult.FENCED:
                 return
-            await asyncio.sleep(_STOP_AGAIN)
+            await asyncio.sleep(_STOP_INTERVAL)
 
-    def _look_for_trouble(self, tracked: TrackedWorker) -> None:
-        self._look_for_stalled(tracked)
-        self._look_for_late_answers(tracked)
+    def _check_runs(self, tracked: TrackedWorker) -> None:
+        self._stop_stalled(tracked)
+        self._evict_best_effort(tracked)
 
-    def _look_for_stalled(self, tracked: TrackedWorker) -> None:
-        """Close a worker on which runs stand still, and run them elsewhere.
+    def _stop_stalled(self, tracked: TrackedWorker) -> None:
+        """Give a worker with stalled runs no work, and rerun them elsewhere.
 
-        Gangs are left to it: a new start would cost all of their members.
+        Gangs stay there: a new start would restart all of their members.
         """
         now = self._state.clock()
         stalled = [
             run for run in tracked.run_by_key.values() if run.stalled(now)
         ]
-        # What fills stands still while others use all that there is.
-        closes = len(stalled) > len(best_effort_runs(stalled))
-        if closes != tracked.stalled:
+        # Best-effort tasks stall while others use all processor time.
+        blocked = len(stalled) > len(best_effort_runs(stalled))
+        if blocked != tracked.stalled:
             _log.info(
-                'worker stands still' if closes else 'worker moves on',
+                'worker stands still' if blocked else 'worker moves on',
                 worker=tracked.worker,
                 tasks=[run.key.task for run in stalled],
             )
-        tracked.stalled = closes
+        tracked.stalled = blocked
         for run in stalled:
             if run.task is not None and not run.task.step.spec.gang:
                 run.task.step.failed_workers.note_failure(tracked.worker, now)
                 self.stop(tracked, run)
 
-    def _look_for_late_answers(self, tracked: TrackedWorker) -> None:
-        """Stop what fills beside tasks whose answers are late."""
+    def _evict_best_effort(self, tracked: TrackedWorker) -> None:
+        """Stop best-effort runs beside tasks that miss their latency target."""
         for run in best_effort_to_evict(tracked, self._state.clock()):
             if not run.stopping:
                 _log.info(
-                    'stopped for late answers',
+                    'best-effort run stopped, response times exceed the target',
                     task=run.key.task,
                     worker=tracked.worker,
                 )
                 self.stop(tracked, run)
 
-    def _see_active(self, tracked: TrackedWorker, active: ActiveRun) -> None:
+    def _apply_active(self, tracked: TrackedWorker, active: ActiveRun) -> None:
         run = tracked.run_by_key.get(active.key)
         if run is None:
-            run = self._earlier.adopt(tracked, active)
+            run = self._inherited.adopt(tracked, active)
         now = self._state.clock()
         note_progress(run, active.share_done, now)
         note_latency(run, active.load / _MILLIS, now)
@@ -435,24 +449,24 @@
         task = run.task
         if task is not None and active.checkpoint:
             task.checkpoint = active.checkpoint
-        self._judge.note_outlived(tracked, run)
+        self._crash_attributor.note_survival(tracked, run)
         self._ends.note_active(tracked, run)
-        if not self._wanted(run):
+        if not self._is_current(run):
             self.stop(tracked, run)
 
-    def _wanted(self, run: PlacedRun) -> bool:
+    def _is_current(self, run: PlacedRun) -> bool:
         task = run.task
         if task is None or task.step.job.ended:
             return False
         return task.phase is TaskPhase.PLACED and task.run == run.key.run
 
 
-def _surely_gone(
+def _certainly_ended(
     run: PlacedRun,
     listing: Listing,
     sent_at: Seconds,
 ) -> bool:
-    """Whether a run that a listing doesn't show can't be there any more."""
+    """Whether a run absent from a listing can't be active any more."""
     if run.confirmed_at < sent_at:
         return True
     return run.start_deadline < listing.clock
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -1,4 +1,4 @@
-"""What each tenant has running, as far as anything of it may run."""
+"""Usage of each tenant, by all runs that may be active."""
 
 from __future__ import annotations
 
@@ -13,51 +13,52 @@
 from orchidrail.work.step import StepState, Task
 from orchidrail.work.tenant import Tenant
 
-#: Most of a tenant's limit that is ever kept for its urgent work, which has no
-#: time to wait until something ends: on modelled days of twenty tenants 0.016
-#: of the worth where the cell is near its limit, 0.004 where it isn't.
-_MOST_KEPT = 0.25
+#: Maximum share of a tenant's limit reserved for its urgent work, which can't
+#: wait until something ends. On modelled days with twenty tenants, 0.016 of the
+#: total worth depends on it where the cell is near its limit, 0.004 elsewhere.
+_MAX_URGENT_RESERVE = 0.25
 FindTenant = Callable[[TenantId], Tenant | None]
 
 
 class QuotaUsage(NamedTuple):
-    """What one run takes of its tenant's limit.
+    """Usage of a tenant's limit by one run.
 
-    It is all that the task asks for, also where part of that is not counted
-    against its worker's room.
+    It is the whole size that the task requests, even where part of that is not
+    charged to its worker's capacity.
     """
 
     tenant: TenantId
     size: Size
-    #: Whether it is of a queue that goes before all others.
+    #: Whether its queue is urgent: it goes before all others.
     urgent: bool = False
-    #: Whether it goes on until its job is cancelled.
+    #: Whether it runs until its job is cancelled.
     lasting: bool = False
 
 
 def quota_usage_of(task: Task) -> QuotaUsage:
-    """Return what a run of a task takes of its tenant's limit."""
+    """Return the usage of its tenant's limit by a run of a task."""
     job, spec = task.step.job, task.step.spec
     return QuotaUsage(job.tenant.name, spec.size, job.urgent, spec.lasting)
 
 
 def find_no_tenant(name: TenantId) -> Tenant | None:
-    """Know no tenant but from the jobs."""
+    """Find no tenant: tenants are known from their jobs only."""
 
 
 class TenantLedger:
-    """Adds up, for each tenant, every run that may be going on.
+    """Sums, for each tenant, the sizes of all runs that may be active.
 
-    A run counts from the moment it is placed, before its start is ordered,
-    until it has surely ended: an order without an answer counts, a run that is
-    being stopped, and one whose worker is cut off while its lease may last.
+    A run counts from its placement, before its start is ordered, until it has
+    certainly ended. So a start with an unknown outcome counts, and so do a run
+    that is being stopped and one whose worker is partitioned while its lease
+    may last.
 
     Parameters
     ----------
     find_tenant : callable
-        Returns a tenant as the configuration in force has it, None if it has
-        none of that name. What is left of such a tenant's work goes by its
-        limit at the time when its jobs were accepted.
+        Returns a tenant as of the configuration in force, None if it has none
+        of that name. The remaining work of such a tenant is bound by the limit
+        at the time when its jobs were accepted.
     clock : callable
         Monotonic seconds.
 
@@ -66,8 +67,10 @@
     >>> ledger = TenantLedger()
     >>> tenant = Tenant(TenantId('stores'), 1, Size(1000, 0))
     >>> ledger.add_usage(QuotaUsage(tenant.name, Size(700, 10)))
-    >>> ledger.more(tenant, Size(300, 10)), ledger.more(tenant, Size(301, 10))
-    (1, 0)
+    >>> ledger.remaining_count(tenant, Size(300, 10))
+    1
+    >>> ledger.remaining_count(tenant, Size(301, 10))
+    0
     """
 
     def __init__(
@@ -75,7 +78,7 @@
         find_tenant: FindTenant = find_no_tenant,
         clock: Callable[[], Seconds] = float,
     ) -> None:
-        """Start with nothing running."""
+        """Start with no usage."""
         self.used_by_tenant: dict[TenantId, Size] = {}
         self._find_tenant = find_tenant
         self._clock = clock
@@ -86,74 +89,74 @@
         )
 
     def current(self, tenant: Tenant) -> Tenant:
-        """Return a tenant as it is now."""
+        """Return a tenant as of the configuration in force."""
         if not tenant.name:
             return tenant
         return self._find_tenant(tenant.name) or tenant
 
-    def add_usage(self, holding: QuotaUsage) -> None:
-        """Count a run."""
-        name = holding.tenant
+    def add_usage(self, usage: QuotaUsage) -> None:
+        """Add the usage of a run."""
+        name = usage.tenant
         if not name:
             return
-        self.used_by_tenant[name] = self.used(name) + holding.size
-        if holding.lasting:
-            self._lasting_by_tenant[name] += holding.size
-        if holding.urgent:
-            self._urgent_by_tenant[name] += holding.size
+        self.used_by_tenant[name] = self.used(name) + usage.size
+        if usage.lasting:
+            self._lasting_by_tenant[name] += usage.size
+        if usage.urgent:
+            self._urgent_by_tenant[name] += usage.size
             urgent = self._urgent_by_tenant[name]
             self._peak_by_tenant[name].note(urgent, self._clock())
 
-    def remove_usage(self, holding: QuotaUsage) -> None:
-        """Take that a run which was counted has surely ended."""
-        if not holding.tenant:
+    def remove_usage(self, usage: QuotaUsage) -> None:
+        """Remove the usage of a run that has certainly ended."""
+        if not usage.tenant:
             return
-        left = self.used(holding.tenant) - holding.size
-        if holding.urgent:
-            self._urgent_by_tenant[holding.tenant] -= holding.size
-        if holding.lasting:
-            self._lasting_by_tenant[holding.tenant] -= holding.size
-        if any(left):
-            self.used_by_tenant[holding.tenant] = left
+        remaining = self.used(usage.tenant) - usage.size
+        if usage.urgent:
+            self._urgent_by_tenant[usage.tenant] -= usage.size
+        if usage.lasting:
+            self._lasting_by_tenant[usage.tenant] -= usage.size
+        if any(remaining):
+            self.used_by_tenant[usage.tenant] = remaining
         else:
-            self.used_by_tenant.pop(holding.tenant)
+            self.used_by_tenant.pop(usage.tenant)
 
     def used(self, name: TenantId) -> Size:
-        """Return what a tenant may have running."""
+        """Return the size of all runs of a tenant that may be active."""
         return self.used_by_tenant.get(name, Size())
 
-    def more(self, tenant: Tenant, size: Size) -> int:
-        """Return how many more tasks of a size a tenant may have running.
+    def remaining_count(self, tenant: Tenant, size: Size) -> int:
+        """Return how many more tasks of a size fit a tenant's limit.
 
-        A limit that was lowered is heeded by what starts; what runs goes on.
+        A lowered limit applies to new starts only; active runs continue.
         """
         current = self.current(tenant)
         return current.count_within_limit(self.used(tenant.name), size)
 
     def within_limit(self, step: StepState, tasks: list[Task]) -> list[Task]:
-        """Return the tasks that the tenant's limit lets start; gangs whole.
+        """Return the tasks that may start within the limit; gangs as a whole.
 
-        Work that has time leaves of the limit what the tenant's urgent work
-        used at its last peak.
+        Work that is not urgent leaves the share of the limit that the tenant's
+        urgent work used at its last peak.
         """
         tenant = self.current(step.job.tenant)
         if not tenant.limited:
             return tasks
         used = self.used(tenant.name)
         if not step.job.urgent:
-            used += self._kept_beside(tenant, step)
-        more = tenant.count_within_limit(used, step.spec.size)
+            used += self._reserved_from(tenant, step)
+        fitting = tenant.count_within_limit(used, step.spec.size)
         if step.spec.gang:
-            return tasks if more >= len(tasks) else []
-        return tasks[:more]
+            return tasks if fitting >= len(tasks) else []
+        return tasks[:fitting]
 
     def needs_most_of_limit(self, step: StepState) -> bool:
-        """Whether what must start together is over half of its tenant's limit.
+        """Whether what must start together exceeds half of the limit.
 
-        It finds room only while little else of its tenant runs, also where the
-        tenant uses less than half. One that a lowered limit does not allow at
-        all, or not beside what lasts, is none of these: nothing is to wait for
-        it, since nobody knows for how long.
+        Such a step fits only while little else of its tenant runs, even where
+        the tenant uses less than half. A step that a lowered limit does not
+        allow at all, or not besides the long-running tasks, does not count:
+        nothing should wait for it, since nobody knows for how long.
         """
         tenant = self.current(step.job.tenant)
         if not tenant.limited:
@@ -163,23 +166,25 @@
         fits = tenant.count_within_limit(lasting, at_once) > 0
         return fits and not tenant.ever_fits(at_once + at_once)
 
-    def _kept_beside(self, tenant: Tenant, step: StepState) -> Size:
-        """Return what is kept from a step; nothing if it would never fit."""
-        kept = self._kept_for_urgent(tenant)
-        fits = tenant.count_within_limit(kept, concurrent_size(step.spec)) > 0
-        return kept if fits else Size()
+    def _reserved_from(self, tenant: Tenant, step: StepState) -> Size:
+        """Return the size reserved from a step, none if it would never fit."""
+        reserved = self._reserved_for_urgent(tenant)
+        fits = (
+            tenant.count_within_limit(reserved, concurrent_size(step.spec)) > 0
+        )
+        return reserved if fits else Size()
 
-    def _kept_for_urgent(self, tenant: Tenant) -> Size:
-        """Return what urgent work is about to use besides what it uses."""
+    def _reserved_for_urgent(self, tenant: Tenant) -> Size:
+        """Return what urgent work is expected to use on top of its usage."""
         peak = self._peak_by_tenant[tenant.name].at(self._clock())
-        now = self._urgent_by_tenant[tenant.name]
+        in_use = self._urgent_by_tenant[tenant.name]
         return Size(
             *(
-                max(0, min(high, int(_MOST_KEPT * most)) - taken)
-                for high, most, taken in zip(
+                max(0, min(high, int(_MAX_URGENT_RESERVE * limit)) - used)
+                for high, limit, used in zip(
                     peak,
                     tenant.maximum,
-                    now,
+                    in_use,
                     strict=True,
                 )
             )
@@ -187,16 +192,16 @@
 
 
 class _Peaks:
-    """The last peak of each part of a size."""
+    """Decaying peak of each component of a size."""
 
     def __init__(self) -> None:
         self._peaks = tuple(DecayingPeak() for _ in Size())
 
     def note(self, size: Size, now: Seconds) -> None:
-        """Take what is used at this moment."""
+        """Record the current usage."""
         for peak, part in zip(self._peaks, size, strict=True):
             peak.note(part, now)
 
     def at(self, now: Seconds) -> Size:
-        """Return what is left of the peaks."""
+        """Return the decayed peaks."""
         return Size(*(int(peak.at(now)) for peak in self._peaks))
--- a/orchidrail/shard/tests/fleet_case.py
+++ b/orchidrail/shard/tests/fleet_case.py
@@ -1,4 +1,4 @@
-"""Scenes around an owner and the entries of its workers, for tests."""
+"""Test case with a shard owner and the entries of its workers."""
 
 from __future__ import annotations
 
@@ -36,18 +36,18 @@
 WORKERS = Topic('workers')
 READ_WAIT = 0.5
 JOB = JobId('0123456789abcdef')
-BAD_ENTRY = b'bad'
+INVALID_ENTRY = b'bad'
 _decode_entry = msgspec.msgpack.Decoder(WorkerEntry).decode
 
 
 def decode(key: str, raw: bytes) -> Result[WorkerEntry, InvalidEntry]:
-    if raw == BAD_ENTRY:
+    if raw == INVALID_ENTRY:
         return Err(InvalidEntry(EntryErrorKind.UNREADABLE, repr(raw)))
     return Ok(_decode_entry(raw))
 
 
 class FleetTestCase(AsyncTestCase):
-    """Plays scenes beside a first owner, which has one worker."""
+    """Runs scenarios against a first owner, which has one worker."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -74,7 +74,7 @@
     def run_scenario(
         self, scenario: Callable[[ShardOwner], Awaitable[None]]
     ) -> None:
-        """Run a scene beside the first owner, which has one worker."""
+        """Run a scenario while the first owner, with one worker, runs."""
 
         async def run() -> None:
             await self.write_entry(listed=True)
@@ -89,7 +89,7 @@
         self.run_async(run())
 
     async def write_incarnation_entry(self, born: int | None) -> None:
-        """Write the entry of a life of the one worker."""
+        """Write the entry of an incarnation of the one worker."""
         entry = msgspec.structs.replace(make_entry(), born=born)
         await self.store.append(
             WORKERS, [KeyedRecord(entry.name, encode(entry))]
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -1,9 +1,10 @@
-"""Tests of what a crashed worker tells of the tasks that were there.
+"""Tests of the attribution of worker crashes to tasks.
 
-A task that ends each worker that starts it was started some thirty times on an
-archive's cell, since only ends that workers tell of were counted (the whole
-story: standins/tests/test_crashing_tasks.py). Here each way in which a run can
-end without a word is tried by itself, and what must not be held against a task.
+Without attribution, a task that crashes every worker that starts it is started
+again about thirty times, since only ends that workers report are counted
+(`standins/tests/test_crashing_tasks.py` reproduces this). Here each way in
+which a run can end without a report is tested by itself, and so is what must
+not be attributed to a task.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 import msgspec
 
 from orchidrail.shard.crash_evidence import (
-    CrashWatch,
+    CrashRateMonitor,
     IncarnationEnd,
     LostRun,
-    suspicion_of,
+    added_suspicion,
 )
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.shard.tests.test_worker_selection import make_books, make_step
@@ -39,14 +40,15 @@
     WorkerState,
 )
 
-_SOON = 0.12
+_ORDER_WAIT = 0.12
 _ONE_TASK = StepSpec(1)
-#: Crashes after which users allow two more starts.
-_MOST_CRASHES = 4
+#: Number of crashes by which a task must be abandoned: users allow two starts
+#: after the third.
+_MAX_CRASHES = 4
 
 
 def _crash_once(step: StepState, suspicion: int = 2) -> None:
-    """Start all waiting tasks, and lose the worker of the first."""
+    """Start all waiting tasks, then crash the worker of the first."""
     place_all(step)
     task = step.tasks[0]
     step.job.note_crash(task, task.run, suspicion)
@@ -59,11 +61,11 @@
     spec: StepSpec = _ONE_TASK,
     suspicion: int = 0,
 ) -> StepState:
-    """Return a step whose task was ordered and has had time to start."""
+    """Return a step whose tasks were ordered and have had time to start."""
     step = shard.add(make_job(spec))
     step.tasks[0].suspicion = suspicion
     shard.launch(step)
-    await asyncio.sleep(_SOON)
+    await asyncio.sleep(_ORDER_WAIT)
     return step
 
 
@@ -75,10 +77,10 @@
 
 
 class JobCrashTest(ShardTestCase):
-    def test_the_count_outlives_owners(self) -> None:
-        """One owner after another takes over, each in the middle of a crash."""
+    def test_crash_count_survives_takeovers(self) -> None:
+        """One owner after another takes over, each just after a crash."""
         job = make_job(StepSpec(1))
-        for crashes in range(1, _MOST_CRASHES):
+        for crashes in range(1, _MAX_CRASHES):
             _crash_once(next(job.open_steps(0)))
             job = _restored(job)
             task = next(job.open_steps(0)).tasks[0]
@@ -87,8 +89,8 @@
         self.assertIs(JobPhase.FAILED, job.phase)
         self.assertIs(FailureCause.CRASHED_WORKERS, job.cause)
 
-    def test_in_a_gang_only_the_member_that_was_there_is_blamed(self) -> None:
-        """A wide sound gang loses some member to each crash by chance."""
+    def test_crash_is_attributed_only_to_gang_member_there(self) -> None:
+        """A wide healthy gang loses some member to each chance crash."""
         job = make_job(StepSpec(5, gang=True))
         for member in range(5):
             step = next(job.open_steps(0))
@@ -99,20 +101,20 @@
         self.assertFalse(job.ended)
         self.assertEqual({1}, {task.crashes for task in step.tasks})
 
-    def test_each_round_has_a_count_of_its_own(self) -> None:
+    def test_each_round_counts_crashes_separately(self) -> None:
         job = make_job(StepSpec(1), repeats=2)
         first, second = job.open_steps(1000)
         _crash_once(first)
         self.assertEqual(1, first.tasks[0].crashes)
         self.assertEqual(0, second.tasks[0].crashes)
 
-    def test_a_lasting_task_that_crashes_workers_is_given_up(self) -> None:
+    def test_crashing_long_running_task_is_abandoned(self) -> None:
         job = make_job(StepSpec(1, lasting=True))
-        for _ in range(_MOST_CRASHES):
+        for _ in range(_MAX_CRASHES):
             _crash_once(next(job.open_steps(0)))
         self.assertIs(JobPhase.FAILED, job.phase)
 
-    def test_a_run_that_was_settled_before_counts_no_more(self) -> None:
+    def test_crash_of_ended_run_does_not_count(self) -> None:
         job = make_job(StepSpec(1))
         step = next(job.open_steps(0))
         place_all(step)
@@ -121,64 +123,67 @@
 
 
 class SuspicionTest(ShardTestCase):
-    def test_a_crash_and_two_trials_are_enough_in_calm_times(self) -> None:
-        """Two are not: workers may crash twice by chance.
+    def test_crash_and_two_retries_suffice_at_low_crash_rate(self) -> None:
+        """One crash and one retry are not: workers may crash twice by chance.
 
-        Seen in the soak: two did within half a second, 0.03 and 0.5 s after
-        starts of a sound task, and its job was given up.
+        Two workers crashed within half a second, 0.03 and 0.5 s after starts of
+        a healthy task, and its job was abandoned.
         """
         task = make_step(StepSpec(1)).tasks[0]
-        first = LostRun(task, RunNumber(1), young=True, trial=False)
-        trial = LostRun(task, RunNumber(2), young=True, trial=True)
+        first = LostRun(task, RunNumber(1), recent=True, isolated=False)
+        retry = LostRun(task, RunNumber(2), recent=True, isolated=True)
         added = [
-            suspicion_of(lost, IncarnationEnd.CRASHED, calm=True)
-            for lost in (first, trial, trial)
+            added_suspicion(lost, IncarnationEnd.CRASHED, low_crash_rate=True)
+            for lost in (first, retry, retry)
         ]
         self.assertLess(sum(added[:2]), SUSPICION_LIMIT)
         self.assertGreaterEqual(sum(added), SUSPICION_LIMIT)
 
-    def test_a_task_that_crashes_workers_at_once_is_soon_given_up(self) -> None:
-        """Whatever else goes on, users allow two starts after the third."""
+    def test_task_crashing_at_start_is_abandoned_soon(self) -> None:
+        """At any crash rate, users allow two starts after the third."""
         task = make_step(StepSpec(1)).tasks[0]
         unannounced = (
             IncarnationEnd.CRASHED,
             IncarnationEnd.LEASE_EXPIRED,
             IncarnationEnd.NEVER_REACHED,
         )
-        for end, trial, calm in itertools.product(
+        for end, isolated, low_crash_rate in itertools.product(
             unannounced,
             (True, False),
             (True, False),
         ):
-            lost = LostRun(task, RunNumber(1), young=True, trial=trial)
-            added = suspicion_of(lost, end, calm)
-            self.assertGreaterEqual(_MOST_CRASHES * added, SUSPICION_LIMIT)
+            lost = LostRun(task, RunNumber(1), recent=True, isolated=isolated)
+            added = added_suspicion(lost, end, low_crash_rate)
+            self.assertGreaterEqual(_MAX_CRASHES * added, SUSPICION_LIMIT)
 
-    def test_work_of_seconds_is_not_blamed_while_many_crash(self) -> None:
+    def test_older_run_is_not_suspected_at_high_crash_rate(self) -> None:
         task = make_step(StepSpec(1)).tasks[0]
-        lost = LostRun(task, RunNumber(1), young=False, trial=False)
+        lost = LostRun(task, RunNumber(1), recent=False, isolated=False)
         self.assertEqual(
-            0, suspicion_of(lost, IncarnationEnd.CRASHED, calm=False)
+            0,
+            added_suspicion(lost, IncarnationEnd.CRASHED, low_crash_rate=False),
         )
 
-    def test_crashes_under_a_trial_do_not_make_times_unquiet(self) -> None:
-        watch = CrashWatch()
+    def test_crashes_of_isolated_retries_keep_crash_rate_low(self) -> None:
+        monitor = CrashRateMonitor()
         every = [make_books(f'w-{number}') for number in range(10)]
-        on_trial = make_books('w-trial')
+        retrying = make_books('w-trial')
         task = make_step(StepSpec(1)).tasks[0]
         key = RunKey(task.key, RunNumber(1))
-        on_trial.allocate(PlacedRun(key, Size(1), task, 0, trial=True), 'step')
+        retrying.allocate(
+            PlacedRun(key, Size(1), task, 0, isolated=True), 'step'
+        )
         for _ in range(3):
-            watch.note_end(on_trial, now=1)
-        self.assertTrue(watch.calm(every, now=1))
+            monitor.record_end(retrying, now=1)
+        self.assertTrue(monitor.is_low(every, now=1))
         for _ in range(3):
-            watch.note_end(every[0], now=1)
-        self.assertFalse(watch.calm(every, now=1))
-        self.assertTrue(watch.calm(every, now=20))
+            monitor.record_end(every[0], now=1)
+        self.assertFalse(monitor.is_low(every, now=1))
+        self.assertTrue(monitor.is_low(every, now=20))
 
 
-class TrialTest(ShardTestCase):
-    def test_a_suspect_goes_where_least_is_at_stake(self) -> None:
+class IsolatedRetryTest(ShardTestCase):
+    def test_suspected_task_goes_to_idle_worker(self) -> None:
         step = make_step(StepSpec(1, size=Size(1000)))
         step.tasks[0].suspicion = 2
         busy, idle = make_books('a'), make_books('b')
@@ -188,8 +193,8 @@
         chosen = choose_workers(step, step.startable(), [busy, idle])
         self.assertEqual(['b'], [one.tracked.worker for one in chosen])
 
-    def test_it_does_not_go_where_a_worker_has_just_crashed(self) -> None:
-        """Such a worker is empty, and may go down again by itself."""
+    def test_suspected_task_avoids_recently_crashed_worker(self) -> None:
+        """Such a worker is empty, and may crash again by itself."""
         step = make_step(StepSpec(1, size=Size(1000)))
         step.tasks[0].suspicion = 2
         restarted, steady = make_books('a'), make_books('b')
@@ -197,7 +202,7 @@
         chosen = choose_workers(step, step.startable(), [restarted, steady])
         self.assertEqual(['b'], [one.tracked.worker for one in chosen])
 
-    def test_suspects_and_sound_tasks_share_no_worker(self) -> None:
+    def test_suspected_tasks_share_no_worker(self) -> None:
         step = make_step(StepSpec(4, size=Size(1000)))
         for task in step.tasks[:2]:
             task.suspicion = 2
@@ -210,7 +215,7 @@
         self.assertEqual([1, 1], [len(tasks) for tasks in suspects])
         self.assertEqual(4, len(chosen))
 
-    def test_a_worker_is_closed_for_the_time_of_a_trial(self) -> None:
+    def test_worker_accepts_no_work_during_isolated_retry(self) -> None:
         async def scenario(shard: Shard) -> None:
             await _started(shard, suspicion=2)
             await shard.poll()
@@ -222,7 +227,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_trial_that_ends_otherwise_frees_the_worker(self) -> None:
+    def test_end_of_isolated_retry_frees_worker(self) -> None:
         async def scenario(shard: Shard) -> None:
             await _started(shard, suspicion=2)
             shard.worker.end(shard.worker.starts[0].key, RunEnding.DONE)
@@ -233,7 +238,7 @@
 
 
 class LostWorkerTest(ShardTestCase):
-    def test_a_crash_at_the_start_is_held_against_the_task(self) -> None:
+    def test_crash_at_start_makes_task_suspected(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = await _started(shard)
             await shard.crash()
@@ -241,7 +246,7 @@
 
         self.run_scenario(scenario)
 
-    def test_so_is_one_that_took_the_answer_with_it(self) -> None:
+    def test_crash_before_start_answer_makes_task_suspected(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             step = await _started(shard)
@@ -250,27 +255,27 @@
 
         self.run_scenario(scenario)
 
-    def test_so_is_one_that_kept_its_gang_from_starting(self) -> None:
-        """The other member's start was not sent: its connection had ended."""
+    def test_crash_that_interrupts_gang_start_counts(self) -> None:
+        """The other member's start was not sent: its connection had closed."""
 
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, gang=True)))
-            take = shard.worker.start
+            original_start = shard.worker.start
 
-            async def crash_at(*words: Any) -> OrderAnswer:
-                answer = await take(*words)
+            async def start_then_disconnect(*order: Any) -> OrderAnswer:
+                answer = await original_start(*order)
                 shard.worker.start_result = OrderResult.NOT_SENT
                 return answer
 
-            self.patch(shard.worker, 'start', crash_at)
+            self.patch(shard.worker, 'start', start_then_disconnect)
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             await shard.crash()
             self.assertEqual([1, 0], [task.crashes for task in step.tasks])
 
         self.run_scenario(scenario)
 
-    def test_a_start_that_another_life_refused_is_not(self) -> None:
+    def test_start_rejected_by_other_incarnation_does_not_count(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.OTHER_INCARNATION
             step = await _started(shard)
@@ -279,7 +284,7 @@
 
         self.run_scenario(scenario)
 
-    def test_nor_is_the_end_of_a_worker_that_leaves(self) -> None:
+    def test_end_of_draining_worker_does_not_count(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = await _started(shard)
             shard.tracked.entry = msgspec.structs.replace(
@@ -291,13 +296,13 @@
 
         self.run_scenario(scenario)
 
-    def test_a_worker_that_was_cut_off_clears_its_tasks(self) -> None:
-        """Its leases ended; then the same life is heard again."""
+    def test_partitioned_worker_clears_its_tasks(self) -> None:
+        """Its leases expired; then the same incarnation responds again."""
 
         async def scenario(shard: Shard) -> None:
             step = await _started(shard)
             worker = shard.tracked.worker
-            shard.runs.give_up_worker(worker, IncarnationEnd.LEASE_EXPIRED)
+            shard.runs.presume_worker_lost(worker, IncarnationEnd.LEASE_EXPIRED)
             self.assertEqual(1, step.tasks[0].crashes)
             await shard.poll()
             self.assertEqual(0, step.tasks[0].crashes)
@@ -305,7 +310,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_worker_that_crashed_before_tells_little(self) -> None:
+    def test_crash_at_unstable_address_is_weak_evidence(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = await _started(shard, suspicion=2)
             shard.tracked.crashed_at = shard.state.clock()
@@ -320,20 +325,20 @@
 
         self.run_scenario(scenario)
 
-    def test_a_crash_in_the_middle_of_a_take_over_counts(self) -> None:
-        """The worker that an earlier owner gave the task to is never met."""
+    def test_crash_during_takeover_counts(self) -> None:
+        """The worker to which a previous owner gave the task never responds."""
 
         async def scenario(shard: Shard) -> None:
             task = shard.add(make_job(StepSpec(1))).tasks[0]
             gone = WorkerId('gone')
             task.step.job.place(task, RunNumber(1), gone)
             shard.state.unresolved_runs[gone] = [(task, task.run)]
-            shard.runs.give_up_worker(gone, IncarnationEnd.NEVER_REACHED)
+            shard.runs.presume_worker_lost(gone, IncarnationEnd.NEVER_REACHED)
             self.assertEqual(1, task.crashes)
 
         self.run_scenario(scenario)
 
-    def test_what_is_given_up_says_why(self) -> None:
+    def test_abandoned_job_has_failure_cause(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = await _started(shard, suspicion=SUSPICION_LIMIT - 2)
             await shard.crash()
@@ -343,7 +348,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_task_that_worked_for_long_is_cleared(self) -> None:
+    def test_task_is_cleared_after_long_run(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = await _started(shard, StepSpec(1, lasting=True), suspicion=3)
             run = next(iter(shard.tracked.run_by_key.values()))
--- a/orchidrail/shard/tests/test_fleet.py
+++ b/orchidrail/shard/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Tests of which workers an owner deals with and gives work to."""
+"""Tests of which workers an owner has sessions with and gives work to."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 )
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
-_DEAF = WorkerId('w-2')
+_UNRESPONSIVE = WorkerId('w-2')
 
 
-class _PartlyDeaf(FakeWorker):
-    """Answers for all workers but one."""
+class _PartlyUnresponsive(FakeWorker):
+    """Responds for all workers but one."""
 
     async def hold(
         self,
@@ -47,13 +47,13 @@
         timeout: Seconds,
     ) -> Listing | OrderAnswer:
         """See `WorkerCalls.hold`."""
-        if entry.worker == _DEAF:
+        if entry.worker == _UNRESPONSIVE:
             await asyncio.sleep(timeout)
             return OrderAnswer(OrderResult.UNKNOWN)
         return await super().hold(entry, order, timeout)
 
 
-class _OtherLives(FakeWorker):
+class _OtherIncarnations(FakeWorker):
     """Some workers have crashed; starts on the others get no answer."""
 
     def __init__(self, *crashed: str) -> None:
@@ -82,22 +82,22 @@
 
 
 class FleetTest(FleetTestCase):
-    def test_a_worker_whose_entry_lapsed_may_run_what_nobody_knows(
+    def test_next_owner_tracks_worker_with_expired_entry(
         self,
     ) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.write_entry(listed=False)
-            following = await self.take_ownership(1)
-            running = asyncio.create_task(following.run())
+            next_owner = await self.take_ownership(1)
+            running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(0.05)
             self.assertIn(
-                make_entry().worker, following.state.tracked_by_worker
+                make_entry().worker, next_owner.state.tracked_by_worker
             )
             running.cancel()
 
         self.run_scenario(scenario)
 
-    def test_a_worker_that_is_silent_holds_up_only_what_it_was_given(
+    def test_unresponsive_worker_delays_only_its_own_runs(
         self,
     ) -> None:
         async def scenario(owner: ShardOwner) -> None:
@@ -105,10 +105,10 @@
             spec = JobSpec('text', (StepSpec(1),))
             submitting = owner.submit(JOB, make_job(StepSpec(1)).queue, spec)
             self.assertTrue(await submitting)
-            await self.write_entry(listed=True, name=_DEAF)
-            workers = _PartlyDeaf()
-            following = await self.take_ownership(1, workers)
-            running = asyncio.create_task(following.run())
+            await self.write_entry(listed=True, name=_UNRESPONSIVE)
+            workers = _PartlyUnresponsive()
+            next_owner = await self.take_ownership(1, workers)
+            running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(READ_WAIT)
             started = {order.key.task for order in workers.starts}
             self.assertEqual({f'{JOB}.0.0.0'}, started)
@@ -116,7 +116,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_crash_that_an_earlier_owner_did_not_see_counts(self) -> None:
+    def test_crash_unseen_by_previous_owner_counts(self) -> None:
         """Two owners in a row find that the worker of a task has crashed."""
 
         async def scenario(owner: ShardOwner) -> None:
@@ -127,12 +127,12 @@
             crashed = ['w-1']
             for epoch in (1, 2):
                 await self.write_entry(listed=True, name=f'w-1{epoch}')
-                following = await self.take_ownership(
-                    epoch, _OtherLives(*crashed)
+                next_owner = await self.take_ownership(
+                    epoch, _OtherIncarnations(*crashed)
                 )
-                running = asyncio.create_task(following.run())
+                running = asyncio.create_task(next_owner.run())
                 await asyncio.sleep(2 * READ_WAIT)
-                task = following.state.job_by_id[JOB].find_task(0, 0, 0)
+                task = next_owner.state.job_by_id[JOB].find_task(0, 0, 0)
                 assert task is not None
                 self.assertEqual(epoch, task.crashes)
                 crashed.append(task.worker)
@@ -141,7 +141,7 @@
         self.run_scenario(scenario)
 
     async def _drain(self, owner: ShardOwner) -> TrackedWorker:
-        """Have the worker say that it leaves, and then answer no more."""
+        """Make the worker announce that it leaves, then stop responding."""
         entry = make_entry()
         draining = msgspec.structs.replace(entry, state=WorkerState.DRAINING)
         record = KeyedRecord(entry.worker, encode(draining))
@@ -155,7 +155,7 @@
         self.assertFalse(tracked.session.reachable)
         return tracked
 
-    def test_a_worker_that_said_so_has_left_when_its_entry_goes(self) -> None:
+    def test_draining_worker_has_left_when_entry_is_removed(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             tracked = await self._drain(owner)
             await self.write_entry(listed=False)
@@ -165,7 +165,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_worker_whose_entry_lapsed_may_run_on_while_it_drains(
+    def test_draining_worker_with_expired_entry_may_still_run(
         self,
     ) -> None:
         async def scenario(owner: ShardOwner) -> None:
@@ -179,7 +179,7 @@
 
         self.run_scenario(scenario)
 
-    def test_entries_that_go_while_the_store_was_away_tell_nothing(
+    def test_entry_missing_after_store_outage_is_no_evidence(
         self,
     ) -> None:
         async def scenario(owner: ShardOwner) -> None:
@@ -191,49 +191,49 @@
 
         self.run_scenario(scenario)
 
-    def test_a_session_that_fails_goes_on(self) -> None:
+    def test_failed_session_is_restarted(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             tracked = owner.state.tracked_by_worker[make_entry().worker]
-            looks: list[Seconds] = []
+            waits: list[Seconds] = []
 
-            async def fail_once(wait: Seconds) -> None:
-                looks.append(wait)
-                if len(looks) == 1:
+            async def fail_first(wait: Seconds) -> None:
+                waits.append(wait)
+                if len(waits) == 1:
                     raise ValueError('not understood')
                 await asyncio.sleep(0.05)
 
-            tracked.session._poll_once = fail_once  # type: ignore[method-assign]
+            tracked.session._poll_once = fail_first  # type: ignore[method-assign]
             await asyncio.sleep(1)
-            self.assertGreater(len(looks), 2)
+            self.assertGreater(len(waits), 2)
 
         self.run_scenario(scenario)
 
-    def test_workers_are_looked_at_beside_looks_that_may_be_silent(
+    def test_extra_poll_beside_unresponsive_poll(
         self,
     ) -> None:
-        """All connections went silent: the look that waits tells nothing."""
+        """All connections stop responding; the pending poll shows nothing."""
 
         async def scenario(owner: ShardOwner) -> None:
             tracked = owner.state.tracked_by_worker[make_entry().worker]
-            looks: list[Seconds] = []
+            waits: list[Seconds] = []
 
             async def hang(wait: Seconds) -> None:
-                looks.append(wait)
+                waits.append(wait)
                 await asyncio.sleep(2 * READ_WAIT)
 
             tracked.session._poll_once = hang  # type: ignore[method-assign]
             await asyncio.sleep(READ_WAIT / 2)
-            self.assertEqual(1, len(looks))
+            self.assertEqual(1, len(waits))
             owner.check_connections_soon()
             await asyncio.sleep(READ_WAIT / 10)
-            self.assertEqual(0, looks[-1])
-            self.assertEqual(2, len(looks))
+            self.assertEqual(0, waits[-1])
+            self.assertEqual(2, len(waits))
 
         self.run_scenario(scenario)
 
-    def test_a_worker_whose_entry_is_gone_gets_no_new_work(self) -> None:
+    def test_worker_without_entry_gets_no_work(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
-            owner._fleet._settled_at = 0
+            owner._fleet._entries_settled_at = 0
             tracked = owner.state.tracked_by_worker[make_entry().worker]
             self.assertTrue(tracked.accepts_work(time.monotonic()))
             await self.write_entry(listed=False)
@@ -245,9 +245,11 @@
 
         self.run_scenario(scenario)
 
-    def test_entries_that_lapsed_with_the_store_are_waited_for(self) -> None:
+    def test_worker_accepts_work_while_entries_return_after_outage(
+        self,
+    ) -> None:
         async def scenario(owner: ShardOwner) -> None:
-            # The store was not read for a while, then the entry is missing.
+            # The store was unreachable for a while, then the entry is missing.
             owner._fleet._read_at -= 5
             await self.write_entry(listed=False)
             await asyncio.sleep(READ_WAIT)
@@ -256,7 +258,7 @@
 
         self.run_scenario(scenario)
 
-    def test_the_next_owner_knows_which_worker_leaves(self) -> None:
+    def test_next_owner_knows_draining_worker(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             leaving = msgspec.structs.replace(
                 make_entry(),
@@ -265,12 +267,12 @@
             record = KeyedRecord(leaving.worker, encode(leaving))
             await self.store.append(WORKERS, [record])
             await asyncio.sleep(READ_WAIT)
-            # Its entry lapses, and the owner is replaced.
+            # Its entry expires, and the owner is replaced.
             await self.write_entry(listed=False)
-            following = await self.take_ownership(1)
-            running = asyncio.create_task(following.run())
+            next_owner = await self.take_ownership(1)
+            running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(READ_WAIT)
-            tracked = following.state.tracked_by_worker[leaving.worker]
+            tracked = next_owner.state.tracked_by_worker[leaving.worker]
             self.assertTrue(tracked.session.reachable)
             self.assertFalse(tracked.accepts_work(time.monotonic()))
             running.cancel()
--- a/orchidrail/shard/tests/test_foreign_entries.py
+++ b/orchidrail/shard/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Tests of entries that somebody else wrote: they name no worker."""
+"""Tests of worker entries that are invalid or written by somebody else."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from orchidrail.journal.writer import take_over
 from orchidrail.shard.owner import ShardOwner
 from orchidrail.shard.tests.fleet_case import (
-    BAD_ENTRY,
+    INVALID_ENTRY,
     JOB,
     ME,
     READ_WAIT,
@@ -38,13 +38,15 @@
 
 
 class ForeignEntryTest(FleetTestCase):
-    def test_a_worker_whose_entry_is_overwritten_runs_on(self) -> None:
-        """It gets no new work until its own entry is there again."""
+    def test_worker_with_overwritten_entry_keeps_its_runs(self) -> None:
+        """It gets no new work until its own entry is back."""
 
         async def scenario(owner: ShardOwner) -> None:
             task = await self.submit(owner)
             tracked = owner.state.tracked_by_worker[WorkerId('w-1')]
-            await self.store.append(WORKERS, [KeyedRecord('w-1', BAD_ENTRY)])
+            await self.store.append(
+                WORKERS, [KeyedRecord('w-1', INVALID_ENTRY)]
+            )
             await asyncio.sleep(READ_WAIT)
             self.assertFalse(tracked.accepts_work(time.monotonic()))
             worker = owner._ports.worker_calls
@@ -59,10 +61,10 @@
 
         self.run_scenario(scenario)
 
-    def test_a_worker_that_answers_keeps_the_room_of_its_own_entry(
+    def test_responding_worker_keeps_capacity_of_own_entry(
         self,
     ) -> None:
-        """Seen in the soak: it was given more than it has room for."""
+        """With the foreign capacity the worker was given more than fits."""
 
         async def scenario(owner: ShardOwner) -> None:
             own = make_entry()
@@ -80,10 +82,10 @@
 
         self.run_scenario(scenario)
 
-    def test_the_next_owner_calls_the_worker_where_its_own_entry_says(
+    def test_next_owner_calls_address_of_own_entry(
         self,
     ) -> None:
-        """The owner before had kept an entry that somebody else wrote."""
+        """The previous owner had saved an entry that somebody else wrote."""
 
         async def scenario(owner: ShardOwner) -> None:
             own = make_entry()
@@ -96,21 +98,25 @@
             record = KeyedRecord(own.name, encode(foreign))
             await self.store.append(WORKERS, [record])
             await asyncio.sleep(2 * READ_WAIT)
-            successor = await self.take_ownership(1)
-            running = asyncio.create_task(successor.run())
+            next_owner = await self.take_ownership(1)
+            running = asyncio.create_task(next_owner.run())
             await self.write_entry(listed=True)
             await asyncio.sleep(2 * READ_WAIT)
-            tracked = successor.state.tracked_by_worker[own.worker]
+            tracked = next_owner.state.tracked_by_worker[own.worker]
             running.cancel()
             self.assertEqual(own.address, tracked.session.entry.address)
 
         self.run_scenario(scenario)
 
-    def test_entries_that_name_no_worker_are_told_once(self) -> None:
+    def test_rejected_entries_are_counted_once(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             for _ in range(3):
-                await self.store.append(WORKERS, [KeyedRecord('x', BAD_ENTRY)])
-                await self.store.append(WORKERS, [KeyedRecord('y', BAD_ENTRY)])
+                await self.store.append(
+                    WORKERS, [KeyedRecord('x', INVALID_ENTRY)]
+                )
+                await self.store.append(
+                    WORKERS, [KeyedRecord('y', INVALID_ENTRY)]
+                )
                 await asyncio.sleep(READ_WAIT)
             counted = owner.state.metrics.rejected_entries.labels('unreadable')
             self.assertEqual(2, counted._value.get())
@@ -118,7 +124,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_worker_of_a_service_without_queues_is_left_alone(self) -> None:
+    def test_worker_of_service_without_queues_is_ignored(self) -> None:
         async def scenario(owner: ShardOwner) -> None:
             await self.write_entry(listed=False)
             served: set[ServiceName] = set()
--- a/orchidrail/shard/tests/test_lost_runs.py
+++ b/orchidrail/shard/tests/test_lost_runs.py
@@ -1,4 +1,4 @@
-"""Tests of what is told of runs whose worker is gone."""
+"""Tests of the logs about runs whose worker is gone."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 from orchidrail.work.tests.test_job import make_job
 from orchidrail.workers.port import OrderResult, WorkerState
 
-_SOON = 0.12
+_ORDER_WAIT = 0.12
 
 
 class LostRunsTest(ShardTestCase):
-    def test_a_run_that_had_just_begun_is_told_from_one_at_work(self) -> None:
+    def test_log_distinguishes_recently_started_run(self) -> None:
         async def scenario(shard: Shard) -> None:
             older = shard.add(make_job(StepSpec(1)))
             shard.launch(older)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             await shard.poll()
             newer = shard.add(make_job(StepSpec(1), job_id='f' * 16))
             shard.launch(newer)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             with capture_logs() as lines:
                 await shard.crash()
             outlived_by_task = {
@@ -37,10 +37,10 @@
 
         self.run_scenario(scenario)
 
-    def test_a_crash_is_told_from_an_announced_end(self) -> None:
+    def test_log_distinguishes_announced_end_from_crash(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.launch(shard.add(make_job(StepSpec(1))))
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             shard.tracked.entry = msgspec.structs.replace(
                 shard.tracked.entry,
                 state=WorkerState.DRAINING,
@@ -52,19 +52,19 @@
 
         self.run_scenario(scenario)
 
-    def test_an_entry_that_goes_after_the_crash_tells_of_no_leave(self) -> None:
+    def test_entry_missing_after_crash_is_no_voluntary_leave(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.hold_result = OrderResult.UNKNOWN
             await shard.poll()
             await shard.poll()
-            shard.tracked.missing_since = shard.state.clock()
+            shard.tracked.entry_missing_since = shard.state.clock()
             self.assertFalse(shard.tracked.left_voluntarily())
 
         self.run_scenario(scenario)
 
-    def test_an_entry_that_goes_before_tells_of_a_leave(self) -> None:
+    def test_entry_missing_before_crash_is_voluntary_leave(self) -> None:
         async def scenario(shard: Shard) -> None:
-            shard.tracked.missing_since = shard.state.clock()
+            shard.tracked.entry_missing_since = shard.state.clock()
             shard.worker.hold_result = OrderResult.UNKNOWN
             await shard.poll()
             await shard.poll()
--- a/orchidrail/shard/tests/test_next_incarnations.py
+++ b/orchidrail/shard/tests/test_next_incarnations.py
@@ -1,4 +1,4 @@
-"""Tests of workers that start again under the names that they had."""
+"""Tests of workers that restart under the same name."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 from orchidrail.workers.tests.fakes import FakeWorker
 
 
-class NextLifeTest(FleetTestCase):
-    def test_an_entry_of_the_next_life_ends_the_one_before(self) -> None:
-        """It may be read before the worker is met again."""
+class NextIncarnationTest(FleetTestCase):
+    def test_entry_of_next_incarnation_ends_previous_one(self) -> None:
+        """The entry may be read before the worker is polled again."""
 
         async def scenario(owner: ShardOwner) -> None:
             await self.write_incarnation_entry(1000)
@@ -44,8 +44,8 @@
 
         self.run_scenario(scenario)
 
-    def test_a_life_that_is_over_is_not_met_again(self) -> None:
-        """Its last heartbeat may be read after the next life has answered."""
+    def test_ended_incarnation_gets_no_new_session(self) -> None:
+        """Its last entry may be read after the next incarnation responded."""
 
         async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
@@ -68,8 +68,8 @@
 
         self.run_scenario(scenario)
 
-    def test_a_next_owner_meets_the_next_life(self) -> None:
-        """What ran in the life before is started again at once, and counted."""
+    def test_next_owner_finds_next_incarnation(self) -> None:
+        """Runs of the previous incarnation restart at once, and count."""
 
         async def scenario(owner: ShardOwner) -> None:
             await self.write_incarnation_entry(1000)
@@ -78,10 +78,10 @@
             await self.write_incarnation_entry(2000)
             workers = FakeWorker()
             workers.born = 2000
-            following = await self.take_ownership(1, workers)
-            running = asyncio.create_task(following.run())
+            next_owner = await self.take_ownership(1, workers)
+            running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(READ_WAIT)
-            task = following.state.job_by_id[JOB].find_task(0, 0, 0)
+            task = next_owner.state.job_by_id[JOB].find_task(0, 0, 0)
             assert task is not None
             self.assertEqual(('w-1@2000', 2), (task.worker, task.run))
             self.assertEqual(1, task.crashes)
@@ -89,8 +89,8 @@
 
         self.run_scenario(scenario)
 
-    def test_a_journal_that_names_no_lives_is_read(self) -> None:
-        """An older version placed a run on a worker that runs it still."""
+    def test_journal_without_incarnations_is_read(self) -> None:
+        """An older version placed a run on a worker that still runs it."""
 
         async def scenario(owner: ShardOwner) -> None:
             task = await self.submit(owner)
@@ -101,20 +101,20 @@
             workers.born = 1000
             key = RunKey(task.key, task.run)
             workers.active[key] = ActiveRun(key, '', 50)
-            following = await self.take_ownership(1, workers)
-            running = asyncio.create_task(following.run())
+            next_owner = await self.take_ownership(1, workers)
+            running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(READ_WAIT)
-            kept = following.state.job_by_id[JOB].find_task(0, 0, 0)
+            kept = next_owner.state.job_by_id[JOB].find_task(0, 0, 0)
             assert kept is not None
             self.assertEqual((TaskPhase.PLACED, 1), (kept.phase, kept.run))
             self.assertEqual([], workers.starts)
-            self.assertEqual(1, len(following.state.tracked_by_worker))
+            self.assertEqual(1, len(next_owner.state.tracked_by_worker))
             running.cancel()
 
         self.run_scenario(scenario)
 
-    def test_the_next_life_is_met_with_a_higher_fencing_token(self) -> None:
-        """Above all of this owner's before; the next owner's is above it."""
+    def test_next_incarnation_gets_higher_fencing_token(self) -> None:
+        """It exceeds all earlier ones; the next owner's exceeds it too."""
 
         async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
@@ -127,13 +127,13 @@
                 await asyncio.sleep(2 * READ_WAIT)
                 epochs.append(worker.holds[-1].epoch)
             self.assertEqual([1, 2, 3], [one - epochs[0] + 1 for one in epochs])
-            following = await self.take_ownership(1)
-            self.assertGreater(following.writer.owner.epoch, epochs[-1])
+            next_owner = await self.take_ownership(1)
+            self.assertGreater(next_owner.writer.owner.epoch, epochs[-1])
 
         self.run_scenario(scenario)
 
-    def test_a_start_in_doubt_waits_for_the_next_life(self) -> None:
-        """It may be carried out there; then it is what runs."""
+    def test_unconfirmed_start_waits_for_next_incarnation(self) -> None:
+        """It may be executed there; then it is the active run."""
 
         async def scenario(owner: ShardOwner) -> None:
             worker = owner._ports.worker_calls
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -50,7 +50,7 @@
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
 _ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
-_SOON = 0.12
+_ORDER_WAIT = 0.12
 
 
 class Shard:
@@ -95,18 +95,18 @@
         await self.tracked.session._poll()
 
     async def crash(self) -> None:
-        """End the worker's life; another answers at its address."""
+        """End the worker's incarnation; another responds at its address."""
         self.worker.hold_result = OrderResult.OTHER_INCARNATION
         await self.poll()
 
 
 class ShardTestCase(AsyncTestCase):
-    """Plays scenes around one tracker."""
+    """Runs scenarios against one tracker."""
 
     def run_scenario(
         self, scenario: Callable[[Shard], Awaitable[None]]
     ) -> None:
-        """Run a scene beside the journal's writer."""
+        """Run a scenario while the journal's writer runs."""
 
         async def run() -> None:
             view = JournalView(MemoryStore(), Topic('journal'))
@@ -124,26 +124,26 @@
 
 
 class RunsTest(ShardTestCase):
-    def test_a_start_goes_out_once_the_journal_has_it(self) -> None:
+    def test_start_is_sent_after_journal_write(self) -> None:
         async def scenario(shard: Shard) -> None:
             store = shard.store
             assert isinstance(store, MemoryStore)
             store.fault = StoreFault.REFUSES
             shard.launch(shard.add(make_job(StepSpec(1))))
-            await asyncio.sleep(_SOON * 3)
+            await asyncio.sleep(_ORDER_WAIT * 3)
             self.assertEqual([], shard.worker.starts)
             store.fault = None
-            await asyncio.sleep(_SOON * 6)
+            await asyncio.sleep(_ORDER_WAIT * 6)
             self.assertEqual(1, len(shard.worker.starts))
 
         self.run_scenario(scenario)
 
-    def test_an_end_frees_the_room_and_completes_the_job(self) -> None:
+    def test_end_frees_capacity_and_completes_job(self) -> None:
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             shard.launch(shard.add(job))
             self.assertEqual(63_500, shard.tracked.free.millicores)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             shard.worker.end(shard.worker.starts[0].key, RunEnding.DONE)
             await shard.poll()
             self.assertEqual(64_000, shard.tracked.free.millicores)
@@ -151,12 +151,12 @@
 
         self.run_scenario(scenario)
 
-    def test_a_doubtful_start_keeps_its_room_until_it_is_too_late(self) -> None:
+    def test_unconfirmed_start_is_allocated_until_deadline(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             step = shard.add(make_job(StepSpec(1, size=Size(500))))
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             await shard.poll()
             self.assertEqual(63_500, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.PLACED, step.tasks[0].phase)
@@ -167,7 +167,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_start_whose_task_fails_is_started_again(self) -> None:
+    def test_failed_start_order_is_repeated(self) -> None:
         async def scenario(shard: Shard) -> None:
             async def fail(*_: object) -> None:
                 raise ValueError('not understood')
@@ -175,7 +175,7 @@
             shard.worker.start = fail  # type: ignore[assignment,method-assign]
             step = shard.add(make_job(StepSpec(1)))
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             run = next(iter(shard.tracked.run_by_key.values()))
             self.assertLess(run.start_deadline, math.inf)
             shard.worker.clock = run.start_deadline + 0.001
@@ -184,24 +184,24 @@
 
         self.run_scenario(scenario)
 
-    def test_a_refused_start_is_free_at_once(self) -> None:
+    def test_rejected_start_frees_capacity_at_once(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.LATE
             step = shard.add(make_job(StepSpec(1, size=Size(500))))
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertEqual(64_000, shard.tracked.free.millicores)
             self.assertIs(TaskPhase.WAITING, step.tasks[0].phase)
 
         self.run_scenario(scenario)
 
-    def test_an_unknown_run_closes_the_worker_until_it_is_gone(self) -> None:
+    def test_unknown_run_blocks_worker_until_it_ends(self) -> None:
         async def scenario(shard: Shard) -> None:
             key = RunKey(TaskKey('f' * 16 + '.0.0.0'), RunNumber(1))
             shard.worker.active[key] = ActiveRun(key, '', 0)
             await shard.poll()
             self.assertFalse(shard.tracked.accepts_work(time.monotonic()))
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertEqual([key], shard.worker.stops)
             shard.worker.end(key, RunEnding.STOPPED)
             await shard.poll()
@@ -209,7 +209,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_run_of_an_earlier_owner_is_adopted(self) -> None:
+    def test_inherited_run_is_adopted(self) -> None:
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             step = shard.add(job)
@@ -226,7 +226,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_run_that_never_came_is_started_again(self) -> None:
+    def test_inherited_run_not_listed_is_restarted(self) -> None:
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1))
             step = shard.add(job)
@@ -241,7 +241,7 @@
 
         self.run_scenario(scenario)
 
-    def test_a_run_that_was_just_placed_does_not_stand_still(self) -> None:
+    def test_run_just_placed_is_not_stalled(self) -> None:
         async def scenario(shard: Shard) -> None:
             shard.worker.start_result = OrderResult.UNKNOWN
             shard.launch(shard.add(make_job(StepSpec(1))))
@@ -250,17 +250,17 @@
 
         self.run_scenario(scenario)
 
-    def test_a_run_that_stands_still_is_run_elsewhere(self) -> None:
+    def test_stalled_run_is_stopped_and_worker_avoided(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1)))
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             await shard.poll()
             run = next(iter(shard.tracked.run_by_key.values()))
             run.progress_at -= 2
             await shard.poll()
             self.assertTrue(shard.tracked.stalled)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertEqual([run.key], shard.worker.stops)
             now = shard.state.clock()
             avoided = step.failed_workers.avoids(shard.tracked.worker, now)
@@ -268,26 +268,26 @@
 
         self.run_scenario(scenario)
 
-    def test_what_fills_and_gets_nothing_does_not_close_its_worker(
+    def test_stalled_best_effort_run_does_not_block_worker(
         self,
     ) -> None:
-        """It stands still while others use all there is, and goes elsewhere."""
+        """It stalls while others use all processor time, and is moved."""
 
         async def scenario(shard: Shard) -> None:
             shard.launch(shard.add(make_job(StepSpec(1, best_effort=True))))
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             await shard.poll()
             run = next(iter(shard.tracked.run_by_key.values()))
             run.progress_at -= 2
             await shard.poll()
             self.assertFalse(shard.tracked.stalled)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertEqual([run.key], shard.worker.stops)
 
         self.run_scenario(scenario)
 
-    def test_a_long_run_moves_on_by_whole_percents(self) -> None:
-        """One of 200 s needs 2 s for each, and its estimate may be far off."""
+    def test_long_run_progresses_by_whole_percents(self) -> None:
+        """One of 200 s needs 2 s for each; its estimate may be far off."""
         for share, estimate in ((0, 200), (3, 200), (3, 1)):
             task = make_job(StepSpec(1, estimate=estimate)).steps(0)[0].tasks[0]
             key = RunKey(task.key, RunNumber(1))
@@ -297,7 +297,7 @@
             self.assertFalse(run.stalled(last + 2.5), (share, estimate))
             self.assertTrue(run.stalled(last + 9), (share, estimate))
 
-    def test_a_worker_that_fails_two_jobs_rests(self) -> None:
+    def test_worker_that_fails_two_jobs_is_quarantined(self) -> None:
         async def scenario(shard: Shard) -> None:
             for number in range(2, 5):
                 name = WorkerId(f'w-{number}')
@@ -306,7 +306,7 @@
                 job = make_job(StepSpec(1))
                 job.job_id = JobId(f'{number:016x}')
                 shard.launch(shard.add(job))
-                await asyncio.sleep(_SOON)
+                await asyncio.sleep(_ORDER_WAIT)
                 self.assertTrue(shard.tracked.accepts_work(time.monotonic()))
                 shard.worker.end(shard.worker.starts[-1].key, RunEnding.FAILED)
                 await shard.poll()
@@ -314,13 +314,13 @@
 
         self.run_scenario(scenario)
 
-    def test_a_run_is_stopped_however_long_its_worker_refuses(self) -> None:
+    def test_stop_is_repeated_while_worker_rejects_it(self) -> None:
         """Its lease is renewed with that of all others there."""
 
         async def scenario(shard: Shard) -> None:
-            self.patch(runs, '_STOP_AGAIN', 0.001)
+            self.patch(runs, '_STOP_INTERVAL', 0.001)
             shard.launch(shard.add(make_job(StepSpec(1))))
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             stop = shard.worker.stop
             run = next(iter(shard.tracked.run_by_key.values()))
 
@@ -329,15 +329,15 @@
 
             shard.worker.stop = refuse  # type: ignore[method-assign]
             shard.runs.stop(shard.tracked, run)
-            await asyncio.sleep(2 * _SOON)
+            await asyncio.sleep(2 * _ORDER_WAIT)
             shard.worker.stop = stop  # type: ignore[method-assign]
             await shard.poll()
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertIn(run.key, shard.worker.stops)
 
         self.run_scenario(scenario)
 
-    def test_an_unlogged_run_that_has_ended_counts(self) -> None:
+    def test_ended_run_missing_from_journal_counts(self) -> None:
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1))
             step = shard.add(job)
@@ -348,7 +348,7 @@
 
         self.run_scenario(scenario)
 
-    def test_an_unlogged_run_replaces_the_one_that_was_logged(self) -> None:
+    def test_run_missing_from_journal_replaces_older_run(self) -> None:
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             task = shard.add(job).tasks[0]
@@ -359,20 +359,20 @@
             shard.worker.active[key] = ActiveRun(key, '', 50)
             await shard.poll()
             self.assertEqual(2, task.run)
-            shard.runs.give_up_worker(gone, IncarnationEnd.LEASE_EXPIRED)
+            shard.runs.presume_worker_lost(gone, IncarnationEnd.LEASE_EXPIRED)
             self.assertIs(TaskPhase.PLACED, task.phase)
 
         self.run_scenario(scenario)
 
-    def test_a_gang_that_lost_a_member_is_stopped(self) -> None:
+    def test_gang_that_lost_a_member_is_stopped(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, gang=True)))
             shard.launch(step)
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             first, second = (order.key for order in shard.worker.starts)
             shard.worker.end(first, RunEnding.LAPSED)
             await shard.poll()
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_ORDER_WAIT)
             self.assertEqual([second], shard.worker.stops)
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_service_task_failures.py
+++ b/orchidrail/shard/tests/test_service_task_failures.py
@@ -1,4 +1,4 @@
-"""Tests of what tasks that last tell of their workers."""
+"""Tests of how ends of long-running tasks affect their worker."""
 
 from __future__ import annotations
 
@@ -11,78 +11,78 @@
 from orchidrail.work.tests.test_job import make_job
 from orchidrail.workers.port import RunEnding
 
-_SOON: Seconds = 0.12
-_LONG: Seconds = 5.0
-_LASTING = StepSpec(1, lasting=True)
-_SHORT = StepSpec(1)
+_ORDER_WAIT: Seconds = 0.12
+_LONG_RUN: Seconds = 5.0
+_LONG_RUNNING_TASK = StepSpec(1, lasting=True)
+_SHORT_TASK = StepSpec(1)
 
 
 async def _start(shard: Shard, number: int, spec: StepSpec) -> None:
-    """Have a job's only task run on the worker."""
+    """Start a job's only task on the worker."""
     job = make_job(spec)
     job.job_id = JobId(f'{number:016x}')
     shard.launch(shard.add(job))
-    await asyncio.sleep(_SOON)
+    await asyncio.sleep(_ORDER_WAIT)
     await shard.poll()
 
 
 async def _fail_last(shard: Shard) -> None:
-    """Let the run that was started last fail."""
+    """Fail the run that was started last."""
     shard.worker.end(shard.worker.starts[-1].key, RunEnding.FAILED)
     await shard.poll()
 
 
 def _age_last(shard: Shard) -> None:
-    """Let the run that was started last be at work for long."""
+    """Make the run that was started last look older."""
     key = shard.worker.starts[-1].key
-    shard.tracked.run_by_key[key].confirmed_at -= _LONG
+    shard.tracked.run_by_key[key].confirmed_at -= _LONG_RUN
 
 
-class SoundRunsTest(ShardTestCase):
+class LongRunningTaskTest(ShardTestCase):
     def add_others(self, shard: Shard) -> None:
-        """Have more workers, so that one of them may rest."""
+        """Add workers, so that one of them may be quarantined."""
         for number in range(2, 12):
             name = WorkerId(f'w-{number}')
             shard.state.tracked_by_worker[name] = shard.tracked
 
-    def assert_open(self, shard: Shard, expected: bool) -> None:
+    def assert_accepts_work(self, shard: Shard, expected: bool) -> None:
         self.assertIs(expected, shard.tracked.accepts_work(time.monotonic()))
 
-    def test_one_that_works_on_clears_its_worker(self) -> None:
+    def test_long_running_task_clears_its_worker(self) -> None:
         async def scenario(shard: Shard) -> None:
             self.add_others(shard)
-            await _start(shard, 1, _SHORT)
+            await _start(shard, 1, _SHORT_TASK)
             await _fail_last(shard)
-            await _start(shard, 2, _LASTING)
+            await _start(shard, 2, _LONG_RUNNING_TASK)
             _age_last(shard)
             await shard.poll()
-            await _start(shard, 3, _SHORT)
+            await _start(shard, 3, _SHORT_TASK)
             await _fail_last(shard)
-            self.assert_open(shard, expected=True)
+            self.assert_accepts_work(shard, expected=True)
 
         self.run_scenario(scenario)
 
-    def test_one_that_fails_after_long_says_nothing(self) -> None:
+    def test_late_failure_does_not_quarantine_worker(self) -> None:
         async def scenario(shard: Shard) -> None:
             self.add_others(shard)
             for number in range(3):
-                await _start(shard, number, _LASTING)
+                await _start(shard, number, _LONG_RUNNING_TASK)
                 _age_last(shard)
                 await shard.poll()
                 await _fail_last(shard)
-            self.assert_open(shard, expected=True)
+            self.assert_accepts_work(shard, expected=True)
 
         self.run_scenario(scenario)
 
-    def test_one_that_fails_after_long_does_not_lengthen_a_rest(self) -> None:
+    def test_late_failure_does_not_extend_quarantine(self) -> None:
         async def scenario(shard: Shard) -> None:
             self.add_others(shard)
-            await _start(shard, 1, _LASTING)
+            await _start(shard, 1, _LONG_RUNNING_TASK)
             key = shard.worker.starts[-1].key
             _age_last(shard)
             await shard.poll()
             for number in (2, 3):
-                await _start(shard, number, _SHORT)
+                await _start(shard, number, _SHORT_TASK)
                 await _fail_last(shard)
             until = shard.tracked.quarantined_until
             shard.worker.end(key, RunEnding.FAILED)
@@ -91,17 +91,17 @@
 
         self.run_scenario(scenario)
 
-    def test_one_that_worked_before_does_not_clear_it_again(self) -> None:
-        """It runs on where whatever is started fails from some time on."""
+    def test_long_running_task_counts_as_success_once(self) -> None:
+        """It continues on a worker that fails everything it starts later."""
 
         async def scenario(shard: Shard) -> None:
             self.add_others(shard)
-            await _start(shard, 1, _LASTING)
+            await _start(shard, 1, _LONG_RUNNING_TASK)
             _age_last(shard)
             await shard.poll()
             for number in (2, 3):
-                await _start(shard, number, _SHORT)
+                await _start(shard, number, _SHORT_TASK)
                 await _fail_last(shard)
-            self.assert_open(shard, expected=False)
+            self.assert_accepts_work(shard, expected=False)
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_tenant_ledger.py
+++ b/orchidrail/shard/tests/test_tenant_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of what a tenant's limit lets start."""
+"""Tests of what a tenant's limit allows to start."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
     def allowed(self, step: StepState) -> int:
         return len(self.ledger.within_limit(step, step.tasks))
 
-    def test_a_gang_starts_whole_and_a_wide_step_in_waves(self) -> None:
+    def test_gang_starts_whole_and_wide_step_in_parts(self) -> None:
         self.ledger.add_usage(QuotaUsage(_NAME, Size(35, 0)))
         self.assertEqual(
             0, self.allowed(_step(StepSpec(8, Size(10), gang=True)))
         )
         self.assertEqual(6, self.allowed(_step(StepSpec(8, Size(10)))))
 
-    def test_room_is_kept_for_urgent_work(self) -> None:
+    def test_limit_is_reserved_for_urgent_work(self) -> None:
         urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
         self.ledger.add_usage(urgent)
         self.ledger.remove_usage(urgent)
@@ -50,15 +50,15 @@
         step = _step(StepSpec(10, Size(10)), urgent=True)
         self.assertEqual(10, self.allowed(step))
 
-    def test_nothing_is_kept_from_a_gang_that_would_never_fit(self) -> None:
+    def test_nothing_is_reserved_from_gang_that_never_fits(self) -> None:
         urgent = QuotaUsage(_NAME, Size(20, 0), urgent=True)
         self.ledger.add_usage(urgent)
         self.ledger.remove_usage(urgent)
         gang = _step(StepSpec(9, Size(10), gang=True))
         self.assertEqual(9, self.allowed(gang))
 
-    def test_a_gang_above_a_lowered_limit_holds_nobody_up(self) -> None:
-        """It waits for the limit to rise again; other work goes on."""
+    def test_gang_above_lowered_limit_blocks_nothing(self) -> None:
+        """It waits for the limit to rise again; other work continues."""
         gang = _step(StepSpec(8, Size(10), gang=True))
         self.assertTrue(self.ledger.needs_most_of_limit(gang))
         self.maximum = Size(60, 0)
--- a/orchidrail/shard/unresolved_runs.py
+++ b/orchidrail/shard/unresolved_runs.py
@@ -1,4 +1,4 @@
-"""Runs that may be on workers which this owner has not heard yet."""
+"""Inherited runs on workers that this owner has not reached yet."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from orchidrail.work.step import Task
 from orchidrail.workers.port import RunKey
 
-_Placed = list[tuple[Task, RunNumber]]
+_Runs = list[tuple[Task, RunNumber]]
 
 
-class UnresolvedRuns(UserDict[WorkerId, _Placed]):
-    """Tasks that an earlier owner placed, by worker; they count as running.
+class UnresolvedRuns(UserDict[WorkerId, _Runs]):
+    """Inherited runs by worker; they count towards their tenants' usage.
 
     Parameters
     ----------
@@ -25,31 +25,31 @@
     """
 
     def __init__(self, ledger: TenantLedger) -> None:
-        """Know of none."""
+        """Start without runs."""
         self._ledger = ledger
-        self._left_by_worker: defaultdict[
+        self._lingering_by_worker: defaultdict[
             WorkerId, dict[RunKey, QuotaUsage]
         ] = defaultdict(dict)
         super().__init__()
 
-    def __setitem__(self, worker: WorkerId, placed: _Placed) -> None:
-        """Take the runs of a worker, in place of those known so far."""
+    def __setitem__(self, worker: WorkerId, placed: _Runs) -> None:
+        """Replace the runs of a worker, and their usage."""
         for task, _ in self.data.get(worker, ()):
             self._ledger.remove_usage(quota_usage_of(task))
         for task, _ in placed:
             self._ledger.add_usage(quota_usage_of(task))
         super().__setitem__(worker, placed)
 
-    def pop_runs(self, worker: WorkerId) -> _Placed:
-        """Forget the runs of a worker, heard of or over, and return them."""
+    def pop_runs(self, worker: WorkerId) -> _Runs:
+        """Remove the runs of a worker, and their usage, and return them."""
         placed = self.data.pop(worker, [])
         for task, _ in placed:
             self._ledger.remove_usage(quota_usage_of(task))
-        for holding in self._left_by_worker.pop(worker, {}).values():
-            self._ledger.remove_usage(holding)
+        for quota_usage in self._lingering_by_worker.pop(worker, {}).values():
+            self._ledger.remove_usage(quota_usage)
         return placed
 
-    def add(self, worker: WorkerId, placed: _Placed) -> None:
+    def add(self, worker: WorkerId, placed: _Runs) -> None:
         """Add runs to those of a worker."""
         self[worker] = [*self.get(worker, ()), *placed]
 
@@ -57,13 +57,13 @@
         self,
         worker: WorkerId,
         key: RunKey,
-        holding: QuotaUsage,
+        quota_usage: QuotaUsage,
     ) -> None:
-        """Add what an ended job may have left on a worker."""
+        """Add a lingering run, which an ended job may have on a worker."""
         self.setdefault(worker, [])
-        self._ledger.add_usage(holding)
-        self._left_by_worker[worker][key] = holding
+        self._ledger.add_usage(quota_usage)
+        self._lingering_by_worker[worker][key] = quota_usage
 
     def lingering_on(self, worker: WorkerId, key: RunKey) -> QuotaUsage | None:
-        """Return what a run of an ended job takes, if it was known of."""
-        return self._left_by_worker.get(worker, {}).get(key)
+        """Return the usage of a lingering run, None if it is unknown."""
+        return self._lingering_by_worker.get(worker, {}).get(key)
--- a/orchidrail/shard/worker_contact.py
+++ b/orchidrail/shard/worker_contact.py
@@ -1,4 +1,4 @@
-"""How long the owner has not heard the workers that have tasks of a step."""
+"""Time since the workers that run a step last responded."""
 
 from __future__ import annotations
 
@@ -11,24 +11,24 @@
 
 
 def longest_silence(state: ShardState, step: StepState) -> Seconds:
-    """Return for how long the most silent worker of a step was not heard.
+    """Return the longest time since a worker of a step last responded.
 
     Returns
     -------
-    0 if no task of the step is placed.
+    Seconds; 0 if no task of the step is placed.
     """
     workers = {
         task.worker for task in step.tasks if task.phase is TaskPhase.PLACED
     }
     now = state.clock()
-    heard = (_heard_at(state, worker) for worker in workers)
-    return now - min(heard, default=now)
+    responses = (_last_response_at(state, worker) for worker in workers)
+    return now - min(responses, default=now)
 
 
-def _heard_at(state: ShardState, worker: WorkerId) -> Seconds:
-    """Return when a worker was heard last, by this owner or since it began."""
+def _last_response_at(state: ShardState, worker: WorkerId) -> Seconds:
+    """Return a worker's last response, or when this owner started if later."""
     tracked = state.tracked_by_worker.get(worker)
-    heard_at = (
+    responded_at = (
         -math.inf if tracked is None else tracked.session.last_response_at
     )
-    return max(heard_at, state.started_at)
+    return max(responded_at, state.started_at)
--- a/orchidrail/shard/worker_speed.py
+++ b/orchidrail/shard/worker_speed.py
@@ -1,4 +1,4 @@
-"""How fast each worker runs, learnt from the tasks that ended there."""
+"""Speed of each worker, estimated from the tasks that ended there."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 from orchidrail.types import QueueName, Seconds, WorkerId
 
-#: Weight of one task in a worker's mean. Estimates are off by half and more,
-#: so some twenty tasks must agree.
-_WEIGHT = 0.06
+#: Weight of one task in a worker's mean. Estimates are off by half and more, so
+#: about twenty tasks must agree.
+_TASK_WEIGHT = 0.06
 #: Weight of one task in its queue's mean.
 _QUEUE_WEIGHT = 0.01
-#: Tasks before a worker is told apart from the rest.
-_ENOUGH = 8
-#: Factor on the usual time above which a worker is slower. Machines of one
-#: service differ by 1.3 on the users' sites.
-_SLOWER = 1.12
-#: Factor above which a worker is in trouble rather than of a slower kind.
-_FAR_SLOWER = 2.0
+#: Number of tasks before a worker is classified.
+_MIN_TASKS = 8
+#: Factor on the typical duration above which a worker is slower. Instances of
+#: one service differ by a factor of 1.3 at the users' sites.
+_SLOWER_FACTOR = 1.12
+#: Factor above which a worker is faulty rather than of a slower hardware type.
+_MUCH_SLOWER_FACTOR = 2.0
 
 
 class SpeedClass(IntEnum):
-    """How a worker compares with the others of its service."""
+    """Speed of a worker compared with the others of its service."""
 
     TYPICAL = 0
     SLOWER = 1
@@ -40,21 +40,21 @@
 
 
 class SpeedEstimator:
-    """Compares how long tasks took with what their callers estimated.
+    """Compares the durations of tasks with their callers' estimates.
 
     Examples
     --------
     >>> speeds = SpeedEstimator()
     >>> queue, fast, slow = QueueName('q'), WorkerId('f'), WorkerId('s')
     >>> for _ in range(50):
-    ...     speeds.note(fast, queue, took=1.0, estimate=2)
-    ...     speeds.note(slow, queue, took=1.5, estimate=2)
+    ...     speeds.note(fast, queue, duration=1.0, estimate=2)
+    ...     speeds.note(slow, queue, duration=1.5, estimate=2)
     >>> speeds.of(fast), speeds.of(slow)
     (<SpeedClass.TYPICAL: 0>, <SpeedClass.SLOWER: 1>)
     """
 
     def __init__(self) -> None:
-        """Hold all workers for equal."""
+        """Start with all workers of typical speed."""
         self._mean_by_worker: dict[WorkerId, _Mean] = {}
         self._mean_by_queue: dict[QueueName, _Mean] = {}
 
@@ -62,31 +62,31 @@
         self,
         worker: WorkerId,
         queue: QueueName,
-        took: Seconds,
+        duration: Seconds,
         estimate: Seconds,
     ) -> None:
-        """Take that a task ended well."""
-        if took <= 0 or estimate <= 0:
+        """Record the duration of a task that succeeded."""
+        if duration <= 0 or estimate <= 0:
             return
-        ratio = math.log(took / estimate)
-        usual = self._mean_by_queue.setdefault(queue, _Mean())
-        usual.note(ratio, _QUEUE_WEIGHT)
+        ratio = math.log(duration / estimate)
+        queue_mean = self._mean_by_queue.setdefault(queue, _Mean())
+        queue_mean.note(ratio, _QUEUE_WEIGHT)
         mean = self._mean_by_worker.setdefault(worker, _Mean())
-        mean.note(ratio - usual.value, _WEIGHT)
+        mean.note(ratio - queue_mean.value, _TASK_WEIGHT)
 
     def of(self, worker: WorkerId) -> SpeedClass:
-        """Return a worker's pace."""
+        """Return a worker's speed class."""
         mean = self._mean_by_worker.get(worker)
-        if mean is None or mean.count < _ENOUGH:
+        if mean is None or mean.count < _MIN_TASKS:
             return SpeedClass.TYPICAL
-        if mean.value > math.log(_FAR_SLOWER):
+        if mean.value > math.log(_MUCH_SLOWER_FACTOR):
             return SpeedClass.MUCH_SLOWER
         return (
             SpeedClass.SLOWER
-            if mean.value > math.log(_SLOWER)
+            if mean.value > math.log(_SLOWER_FACTOR)
             else SpeedClass.TYPICAL
         )
 
     def forget(self, worker: WorkerId) -> None:
-        """Forget a worker that is gone."""
+        """Drop the statistics of a worker."""
         self._mean_by_worker.pop(worker, None)
