--- a/orchidrail/ingress/__init__.py
+++ b/orchidrail/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Callers' requests about jobs, from any machine to the shard's owner."""
+"""Job requests of callers: authentication and forwarding to the shard owner."""
--- a/orchidrail/ingress/authentication.py
+++ b/orchidrail/ingress/authentication.py
@@ -1,4 +1,4 @@
-"""Whether a call may come in, by the configuration in force here."""
+"""Authentication of calls by the configuration in force on this instance."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 from orchidrail.work.tenant import Tenant
 
 _log = structlog.get_logger()
-#: Least time between two log lines on refused calls: who sends them by the
-#: thousand fills no disk. The metrics count each.
-_TELL_EVERY: Seconds = 1.0
+#: Minimum interval between log lines on rejected calls, so that a flood of
+#: calls does not fill the disk. The metrics count each call.
+_LOG_INTERVAL: Seconds = 1.0
 
 
 class RejectReason(Enum):
-    """Why a call did not come in."""
+    """Why a call was rejected."""
 
-    #: There is no configuration yet.
+    #: No configuration has been received yet.
     NOT_CONFIGURED = 'notConfigured'
-    #: A newer configuration is in force elsewhere, which may say otherwise.
+    #: A newer configuration, in force elsewhere, may decide differently.
     OUTDATED = 'outdated'
-    #: It bears no key, or one that the configuration doesn't know.
+    #: The call has no key, or one that the configuration doesn't contain.
     UNKNOWN_KEY = 'unknownKey'
 
 
-def _current() -> bool:
-    """Take the configuration for the newest."""
+def _never_outdated() -> bool:
+    """Treat the configuration as current."""
     return False
 
 
 class CallAuthenticator:
-    """Tells for whom calls are.
+    """Authenticates calls and finds the tenant on whose behalf they are made.
 
     Parameters
     ----------
     config : callable
-        Returns the configuration in force, None before the first.
+        Returns the configuration in force, None before the first one.
     clock : callable
         Monotonic seconds.
     metrics : InstanceMetrics
     outdated : callable
-        Whether the configuration is known to be, or may be, too old to go by.
+        Whether the configuration is, or may be, too old to authenticate by.
     """
 
     def __init__(
@@ -54,23 +54,23 @@
         config: Callable[[], CellConfig | None],
         clock: Callable[[], Seconds],
         metrics: InstanceMetrics,
-        outdated: Callable[[], bool] = _current,
+        outdated: Callable[[], bool] = _never_outdated,
     ) -> None:
-        """Have turned nobody away."""
+        """Start without rejected calls."""
         self._config = config
         self._clock = clock
         self._metrics = metrics
         self._outdated = outdated
-        self._told_at = -_TELL_EVERY
-        self._untold = 0
+        self._logged_at = -_LOG_INTERVAL
+        self._unlogged = 0
 
     def config(self) -> Result[CellConfig, RejectReason]:
-        """Return the configuration to go by."""
+        """Return the configuration to authenticate by."""
         config = self._config()
         if config is None:
             return Err(RejectReason.NOT_CONFIGURED)
         if self._outdated():
-            self._note(RejectReason.OUTDATED, config)
+            self._record_rejection(RejectReason.OUTDATED, config)
             return Err(RejectReason.OUTDATED)
         return Ok(config)
 
@@ -80,24 +80,26 @@
         queue: QueueSettings,
         authorization: str,
     ) -> Result[Tenant, RejectReason]:
-        """Return for whom a call to a queue is, by the key that it bears."""
+        """Return the tenant of a call to a queue, found by its key."""
         caller = config.find_caller(queue, authorization)
         if caller is None:
-            self._note(RejectReason.UNKNOWN_KEY, config)
+            self._record_rejection(RejectReason.UNKNOWN_KEY, config)
             return Err(RejectReason.UNKNOWN_KEY)
         return Ok(caller)
 
-    def _note(self, reason: RejectReason, config: CellConfig) -> None:
+    def _record_rejection(
+        self, reason: RejectReason, config: CellConfig
+    ) -> None:
         self._metrics.rejected_calls.labels(reason.value).inc()
-        self._untold += 1
+        self._unlogged += 1
         now = self._clock()
-        if now - self._told_at < _TELL_EVERY:
+        if now - self._logged_at < _LOG_INTERVAL:
             return
         _log.info(
             'calls turned away',
             reason=reason.value,
-            count=self._untold,
+            count=self._unlogged,
             config=config.version,
         )
-        self._told_at = now
-        self._untold = 0
+        self._logged_at = now
+        self._unlogged = 0
--- a/orchidrail/ingress/job_forwarder.py
+++ b/orchidrail/ingress/job_forwarder.py
@@ -1,4 +1,4 @@
-"""Hands callers' requests to the shard's owner, wherever it is."""
+"""Forwards callers' job requests to the instance that owns the shard."""
 
 from __future__ import annotations
 
@@ -39,73 +39,75 @@
 from orchidrail.work.tenant import ANONYMOUS_TENANT, Tenant
 
 _log = structlog.get_logger()
-#: Pause before the owner is looked for again.
+#: Pause before a request to the owner is retried.
 _RETRY_PAUSE: Seconds = 0.05
-#: Longest wait for one answer of the owner; a job is taken in some 20 ms.
-_ANSWER_WITHIN: Seconds = 1.0
-#: When a refused caller should come back: the least that the header knows.
-#: Either it has waited for as long as it could, or this zone is cut off, and
-#: the entry point sends it to another one within 3 s.
-_COME_BACK_AFTER: Seconds = 1
-#: How often a submission that the owner holds looks whether it still owns.
-_LOOK_EVERY: Seconds = 0.1
-#: Silence of the owner after which its answer is not waited for: others take
-#: over after 0.45 s.
-_GIVEN_UP_AFTER: Seconds = 0.6
-#: Silence of the owner after which no job is sent to it: without an answer
-#: its caller could not be told that it has not run. It speaks each 0.1 s.
-_DOUBTED_AFTER: Seconds = 0.3
-
-
-_ANYBODY = TenantId('')
+#: Timeout of one request to the owner, which accepts a job in about 20 ms.
+_REPLY_TIMEOUT: Seconds = 1.0
+#: ``Retry-After`` of a rejected caller, the smallest value of that header: the
+#: caller has either used up its timeout, or this zone is partitioned and the
+#: entry point routes it to another zone within 3 s.
+_RETRY_AFTER: Seconds = 1
+#: Interval at which a pending submission checks that the owner is unchanged.
+_OWNER_CHECK_INTERVAL: Seconds = 0.1
+#: Time without a heartbeat of the owner after which its reply is no longer
+#: awaited: other instances take over after 0.45 s.
+_OWNER_LOST_AFTER: Seconds = 0.6
+#: Time without a heartbeat of the owner, which sends one every 0.1 s, after
+#: which no job is sent to it: without a reply the caller could not be told that
+#: the job has not run.
+_OWNER_UNCERTAIN_AFTER: Seconds = 0.3
+
+
+_ANY_TENANT = TenantId('')
 
 
 class JobAnswer(NamedTuple):
-    """What the caller is to be told."""
+    """Outcome of a request about a job, as reported to the caller."""
 
     code: WorkCode
     phase: JobPhase = JobPhase.QUEUED
     retry_after: Seconds = 0
-    #: Why the job was given up, if it was.
+    #: Why the job failed permanently, if it did.
     cause: FailureCause = FailureCause.NONE
 
 
-_REFUSED = JobAnswer(WorkCode.REJECTED, retry_after=_COME_BACK_AFTER)
-#: Answers of the owner after which no other can come.
-_FINAL = frozenset((WorkCode.OK, WorkCode.ID_CONFLICT))
-#: Answers that are true of the try that they answer, not of an earlier one.
-_REFUSALS = frozenset(
+_REJECTED = JobAnswer(WorkCode.REJECTED, retry_after=_RETRY_AFTER)
+#: Codes of the owner that a retry can't change.
+_FINAL_CODES = frozenset((WorkCode.OK, WorkCode.ID_CONFLICT))
+#: Codes that hold for one attempt only: an earlier one may have taken effect.
+_REJECTION_CODES = frozenset(
     (WorkCode.REJECTED, WorkCode.NEVER_FITS, WorkCode.OVER_SHARE)
 )
 
 
-def _refusal(answer: WorkAnswer) -> JobAnswer:
-    """Tell a caller that its job was refused, and when it may be taken."""
+def _rejection(answer: WorkAnswer) -> JobAnswer:
+    """Return the rejection of a job and when the caller may retry."""
     if answer.code is WorkCode.REJECTED:
-        return _REFUSED
+        return _REJECTED
     return JobAnswer(answer.code, retry_after=answer.retry_after)
 
 
-def _answer_of(state: StoredState, tenant: TenantId) -> JobAnswer:
-    """Tell a tenant of a job that the journal has."""
+def _answer_from_state(state: StoredState, tenant: TenantId) -> JobAnswer:
+    """Describe a job from the journal to a tenant."""
     if not state.visible_to(tenant):
         return JobAnswer(WorkCode.NO_SUCH_JOB)
     return JobAnswer(WorkCode.OK, state.phase, cause=state.cause)
 
 
 class JobForwarder:
-    """Answers for one gateway.
+    """Answers the job requests that one instance receives.
 
     Parameters
     ----------
     table : PeerTable
     transport : Transport
     view : JournalView
-        This process's copy of the journal, read now and then.
-    handle_here : callable
-        Answers a message as this process answers its peers.
+        This process's copy of the journal, refreshed occasionally.
+    handle_locally : callable
+        Handles a message as if a peer had sent it.
     local_owner : callable
-        Returns the owner in this process, None if another has the shard.
+        Returns the owner in this process, None if another process owns the
+        shard.
     clock : callable
         Monotonic seconds.
     """
@@ -115,17 +117,17 @@
         table: PeerTable,
         transport: Transport,
         view: JournalView,
-        handle_here: Callable[[Message], Awaitable[Message]],
+        handle_locally: Callable[[Message], Awaitable[Message]],
         local_owner: Callable[[], ShardOwner | None],
         clock: Callable[[], Seconds],
         metrics: InstanceMetrics,
     ) -> None:
-        """Hold the ways to the owner."""
+        """Store the dependencies."""
         self._metrics = metrics
         self._table = table
         self._transport = transport
         self._view = view
-        self._handle_here = handle_here
+        self._handle_locally = handle_locally
         self._local_owner = local_owner
         self._clock = clock
 
@@ -134,19 +136,19 @@
         job_id: JobId,
         queue: QueueSettings,
         spec: JobSpec,
-        patience: Seconds,
+        timeout: Seconds,
         tenant: Tenant = ANONYMOUS_TENANT,
     ) -> JobAnswer:
-        """Have a job accepted, within the caller's patience.
+        """Submit a job within the caller's timeout.
 
-        The answer is a refusal only if no try can have had an effect.
+        The answer is a rejection only if no attempt can have taken effect.
         """
-        began = self._clock()
-        answer = await self._submit(job_id, queue, spec, patience, tenant)
+        started_at = self._clock()
+        answer = await self._submit(job_id, queue, spec, timeout, tenant)
         label = self._metrics.queue_label(queue.name)
         self._metrics.submissions.labels(label, answer.code.value).inc()
         self._metrics.submission_seconds.labels(label).observe(
-            self._clock() - began
+            self._clock() - started_at
         )
         return answer
 
@@ -155,27 +157,27 @@
         job_id: JobId,
         queue: QueueSettings,
         spec: JobSpec,
-        patience: Seconds,
+        timeout: Seconds,
         tenant: Tenant,
     ) -> JobAnswer:
-        began = self._clock()
+        started_at = self._clock()
         uncertain = False
-        while self._clock() - began < patience:
+        while self._clock() - started_at < timeout:
             if self._table.is_partitioned() and not uncertain:
                 break
-            left = patience - (self._clock() - began)
+            remaining = timeout - (self._clock() - started_at)
             message = SubmitWork(
                 job_id=job_id,
                 queue=encode(queue),
                 spec=encode(spec),
-                patience=left,
+                patience=remaining,
                 tenant=b'' if tenant is ANONYMOUS_TENANT else encode(tenant),
             )
             answer = await self._try_submit(message)
-            if answer.code in _FINAL:
+            if answer.code in _FINAL_CODES:
                 return JobAnswer(answer.code)
-            if answer.code in _REFUSALS and not uncertain:
-                return _refusal(answer)
+            if answer.code in _REJECTION_CODES and not uncertain:
+                return _rejection(answer)
             uncertain = uncertain or answer.code is WorkCode.UNCERTAIN
             await asyncio.sleep(_RETRY_PAUSE)
         _log.info(
@@ -186,118 +188,122 @@
             owner=self._table.claim.name,
             epoch=self._table.claim.epoch,
         )
-        return JobAnswer(WorkCode.UNCERTAIN) if uncertain else _REFUSED
+        return JobAnswer(WorkCode.UNCERTAIN) if uncertain else _REJECTED
 
     async def query(
         self,
         job_id: JobId,
-        patience: Seconds,
-        tenant: TenantId = _ANYBODY,
+        timeout: Seconds,
+        tenant: TenantId = _ANY_TENANT,
     ) -> JobAnswer:
-        """Return a job's state; another tenant's is one that does not exist."""
-        seen = read_state(job_id, self._view.value_by_key)
-        if seen is not None and (
-            seen.phase in ENDED_PHASES or self._table.is_partitioned()
+        """Return a job's state; a job of another tenant counts as unknown."""
+        stored = read_state(job_id, self._view.value_by_key)
+        if stored is not None and (
+            stored.phase in ENDED_PHASES or self._table.is_partitioned()
         ):
-            return _answer_of(seen, tenant)
+            return _answer_from_state(stored, tenant)
         message = QueryWork(job_id=job_id, tenant=tenant)
-        return await self._ask_until(message, patience)
+        return await self._ask_until_timeout(message, timeout)
 
     async def cancel(
         self,
         job_id: JobId,
-        patience: Seconds,
-        tenant: TenantId = _ANYBODY,
+        timeout: Seconds,
+        tenant: TenantId = _ANY_TENANT,
     ) -> JobAnswer:
-        """Cancel a job of a tenant's."""
+        """Cancel a job of a tenant."""
         message = CancelWork(job_id=job_id, tenant=tenant)
-        return await self._ask_until(message, patience)
+        return await self._ask_until_timeout(message, timeout)
 
     def waiting(self, queue: QueueSettings) -> int:
-        """Return how many jobs of a queue wait, as the owner told last."""
+        """Return how many jobs of a queue wait, by the owner's last report."""
         owner = self._local_owner()
         if owner is not None:
             return owner.waiting_by_queue()[queue.name]
         return self._table.waiting_by_queue.get(queue.name, 0)
 
-    def _owner_is_silent(self) -> bool:
-        """Whether a job sent to the owner now would be in doubt."""
+    def _owner_is_unresponsive(self) -> bool:
+        """Whether the outcome of a job sent to the owner now is uncertain."""
         if self._local_owner() is not None:
             return False
-        return self._table.owner_silence() > _DOUBTED_AFTER
+        return self._table.owner_silence() > _OWNER_UNCERTAIN_AFTER
 
     async def _try_submit(self, message: SubmitWork) -> WorkAnswer:
-        if self._owner_is_silent():
+        if self._owner_is_unresponsive():
             return WorkAnswer(code=WorkCode.NOT_OWNER)
-        answer = await self._ask_while_heard(message)
+        answer = await self._ask_while_owner_is_live(message)
         if isinstance(answer, Ok):
             return answer.ok_value
         if answer.err_value is CallFailure.ANSWER_LOST:
             return WorkAnswer(code=WorkCode.UNCERTAIN)
         return WorkAnswer(code=WorkCode.NOT_OWNER)
 
-    async def _ask_while_heard(
+    async def _ask_while_owner_is_live(
         self,
         message: SubmitWork,
     ) -> Ok[WorkAnswer] | Err[CallFailure]:
-        """Wait for the owner's answer while it is heard and owns.
+        """Wait for the owner's reply while it is live and its epoch is current.
 
-        It holds a job back while its journal is silent.
+        The owner delays a job while its journal does not respond.
         """
         epoch = self._table.claim.epoch
-        patience = max(_RETRY_PAUSE, message.patience)
-        asking = asyncio.ensure_future(self._ask_owner(message, patience))
+        remaining = max(_RETRY_PAUSE, message.patience)
+        pending = asyncio.ensure_future(self._ask_owner(message, remaining))
         try:
-            while not asking.done():
-                await asyncio.wait((asking,), timeout=_LOOK_EVERY)
-                silent = self._table.owner_silence() > _GIVEN_UP_AFTER
-                gone = silent and self._local_owner() is None
-                if gone or self._table.claim.epoch != epoch:
+            while not pending.done():
+                await asyncio.wait((pending,), timeout=_OWNER_CHECK_INTERVAL)
+                unresponsive = self._table.owner_silence() > _OWNER_LOST_AFTER
+                owner_lost = unresponsive and self._local_owner() is None
+                if owner_lost or self._table.claim.epoch != epoch:
                     break
         finally:
-            if not asking.done():
-                asking.cancel()
-        if asking.done() and not asking.cancelled():
-            return asking.result()
+            if not pending.done():
+                pending.cancel()
+        if pending.done() and not pending.cancelled():
+            return pending.result()
         return Err(CallFailure.ANSWER_LOST)
 
-    async def _ask_until(
+    async def _ask_until_timeout(
         self,
         message: QueryWork | CancelWork,
-        patience: Seconds,
+        timeout: Seconds,
     ) -> JobAnswer:
-        began = self._clock()
+        started_at = self._clock()
         while True:
-            left = patience - (self._clock() - began)
-            if left <= 0:
+            remaining = timeout - (self._clock() - started_at)
+            if remaining <= 0:
                 return JobAnswer(WorkCode.UNCERTAIN)
-            answer = await self._ask_owner(message, min(left, _ANSWER_WITHIN))
+            answer = await self._ask_owner(
+                message, min(remaining, _REPLY_TIMEOUT)
+            )
             if isinstance(answer, Ok):
-                word = answer.ok_value
-                if word.code in {WorkCode.OK, WorkCode.NO_SUCH_JOB}:
+                reply = answer.ok_value
+                if reply.code in {WorkCode.OK, WorkCode.NO_SUCH_JOB}:
                     return JobAnswer(
-                        word.code,
-                        JobPhase(word.phase),
-                        cause=FailureCause(word.cause),
+                        reply.code,
+                        JobPhase(reply.phase),
+                        cause=FailureCause(reply.cause),
                     )
             elif isinstance(message, QueryWork):
-                found = await self._look_up(message.job_id, message.tenant)
-                if found is not None:
-                    return found
+                stored = await self._read_from_journal(
+                    message.job_id, message.tenant
+                )
+                if stored is not None:
+                    return stored
             await asyncio.sleep(_RETRY_PAUSE)
 
-    async def _look_up(
+    async def _read_from_journal(
         self,
         job_id: JobId,
         tenant: TenantId,
     ) -> JobAnswer | None:
-        """Answer from the journal while the owner can't be reached."""
+        """Answer from the journal while the owner is unreachable."""
         if not await self._view.catch_up():
             return None
         state = read_state(job_id, self._view.value_by_key)
         if state is None:
             return JobAnswer(WorkCode.NO_SUCH_JOB)
-        return _answer_of(state, tenant)
+        return _answer_from_state(state, tenant)
 
     async def _ask_owner(
         self,
@@ -306,7 +312,7 @@
     ) -> Ok[WorkAnswer] | Err[CallFailure]:
         claim = self._table.claim
         if claim.name == self._table.me.name:
-            return await self._ask_here(message, timeout)
+            return await self._ask_locally(message, timeout)
         if not claim.address:
             return Err(CallFailure.NOT_SENT)
         outcome: CallResult = await self._transport.call(
@@ -320,14 +326,14 @@
             return Err(outcome.err_value)
         return Err(CallFailure.ANSWER_LOST)
 
-    async def _ask_here(
+    async def _ask_locally(
         self,
         message: Message,
         timeout: Seconds,
     ) -> Ok[WorkAnswer] | Err[CallFailure]:
         try:
             answer = await asyncio.wait_for(
-                self._handle_here(message),
+                self._handle_locally(message),
                 timeout,
             )
         except (TimeoutError, asyncio.TimeoutError):
--- a/orchidrail/ingress/tests/__init__.py
+++ b/orchidrail/ingress/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of job request forwarding."""
--- a/orchidrail/ingress/tests/test_desk.py
+++ b/orchidrail/ingress/tests/test_job_forwarder.py
@@ -1,4 +1,4 @@
-"""Tests of what callers are told."""
+"""Tests of the answers to callers' job requests."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 _QUEUE = make_job(StepSpec(1)).queue
 
 
-class DeskTest(AsyncTestCase):
+class JobForwarderTest(AsyncTestCase):
     def setUp(self) -> None:
         super().setUp()
         self.answers: list[Message | CallFailure] = []
-        self.late: float = 0
+        self.clock_offset: float = 0
         self.table = PeerTable(make_member('me'), self._clock)
         self.table.record_heartbeat(make_state('owner', 'z-2', epoch=1))
         self.transport = ScriptedTransport(self._answer)
@@ -49,7 +49,7 @@
         )
 
     def _clock(self) -> float:
-        return time.monotonic() + self.late
+        return time.monotonic() + self.clock_offset
 
     def _answer(
         self,
@@ -61,22 +61,22 @@
     async def _handle(self, message: Message) -> Message:
         return WorkAnswer(code=WorkCode.NOT_OWNER)
 
-    def submit(self, patience: float = 0.3) -> WorkCode:
-        work = self.forwarder.submit(_JOB, _QUEUE, _SPEC, patience)
+    def submit(self, timeout: float = 0.3) -> WorkCode:
+        work = self.forwarder.submit(_JOB, _QUEUE, _SPEC, timeout)
         return self.run_async(work).code
 
-    def test_an_accepted_job_is_told_so(self) -> None:
+    def test_reports_an_accepted_job(self) -> None:
         self.answers = [WorkAnswer(code=WorkCode.OK)]
         self.assertIs(WorkCode.OK, self.submit())
 
-    def test_a_refusal_is_told_only_if_no_try_can_have_counted(self) -> None:
+    def test_rejects_only_if_no_attempt_can_have_succeeded(self) -> None:
         refusal = WorkAnswer(code=WorkCode.REJECTED)
         self.answers = [refusal]
         self.assertIs(WorkCode.REJECTED, self.submit())
         self.answers = [CallFailure.ANSWER_LOST, refusal]
         self.assertIs(WorkCode.UNCERTAIN, self.submit())
 
-    def test_a_lost_answer_is_asked_for_again(self) -> None:
+    def test_retries_after_a_lost_reply(self) -> None:
         self.answers = [
             CallFailure.ANSWER_LOST,
             WorkAnswer(code=WorkCode.NOT_OWNER),
@@ -85,18 +85,18 @@
         self.assertIs(WorkCode.OK, self.submit(1))
         self.assertEqual(3, len(self.transport.sent(SubmitWork)))
 
-    def test_nothing_is_sent_to_a_silent_owner(self) -> None:
-        self.late = 0.4
+    def test_sends_nothing_to_an_unresponsive_owner(self) -> None:
+        self.clock_offset = 0.4
         self.assertIs(WorkCode.REJECTED, self.submit())
         self.assertEqual([], self.transport.sent(SubmitWork))
 
-    def test_a_zone_that_is_cut_off_refuses_at_once(self) -> None:
-        self.late = 1
+    def test_rejects_at_once_in_a_partitioned_zone(self) -> None:
+        self.clock_offset = 1
         began = time.monotonic()
         self.assertIs(WorkCode.REJECTED, self.submit(3))
         self.assertLess(time.monotonic() - began, 0.1)
 
-    def test_an_ended_job_is_answered_from_the_journal(self) -> None:
+    def test_answers_for_an_ended_job_from_the_journal(self) -> None:
         ended = EndedRecord(JobPhase.FAILED, 0)
         record = KeyedRecord(job_key(_JOB), encode(ended))
         self.run_async(self.store.append(_TOPIC, [record]))
@@ -106,7 +106,7 @@
         self.run_async(self.forwarder.query(_JOB, 1))
         self.assertEqual(1, len(self.transport.sent(QueryWork)))
 
-    def test_an_unknown_job_is_one_that_the_journal_lacks(self) -> None:
+    def test_reports_a_job_missing_in_the_journal_as_unknown(self) -> None:
         self.answers = [CallFailure.ANSWER_LOST]
         answer = self.run_async(self.forwarder.query(_JOB, 1))
         self.assertIs(WorkCode.NO_SUCH_JOB, answer.code)
--- a/orchidrail/instance/__init__.py
+++ b/orchidrail/instance/__init__.py
@@ -1,1 +1,1 @@
-"""The process that runs on each machine of the system."""
+"""The process that runs on each instance."""
--- a/orchidrail/instance/config_follower.py
+++ b/orchidrail/instance/config_follower.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, followed in the store."""
+"""Follows the operator's configuration in the store."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from orchidrail.work.tenant import Tenant
 
 _log = structlog.get_logger()
-#: How long the store may hold a read open; one that is lost costs this more.
-_WAIT: Seconds = 0.9
-_FAILED_PAUSE: Seconds = 0.2
-#: Time after a peer has told of a newer configuration in which it should have
-#: come: a read that is open has it at once, one that was lost is made again
-#: through a peer after 1.4 s. Machines in touch must go by it within 3 s.
-_COMES_WITHIN: Seconds = 1.5
+#: How long the store may hold a read open. A read whose reply is lost delays
+#: the next one by as much.
+_READ_WAIT: Seconds = 0.9
+_RETRY_PAUSE: Seconds = 0.2
+#: Time in which a newer configuration should arrive after a peer reported it:
+#: an open read returns it at once, a lost read is repeated through a peer after
+#: 1.4 s. Connected instances must apply it within 3 s.
+_PROPAGATION_LIMIT: Seconds = 1.5
 
 
 class ConfigFollower:
-    """Keeps the newest configuration; never goes back to an older one.
+    """Keeps the newest configuration; never reverts to an older one.
 
     Parameters
     ----------
@@ -51,11 +52,12 @@
         """Start without a configuration."""
         self._metrics = metrics
         self._clock = clock
-        #: When the store was asked last, of the times that it has answered.
+        #: Start of the last successful read of the store.
         self._confirmed_at = clock()
-        #: The newest version that a peer has told of, and since when.
-        self._heard_version = 0
-        self._heard_at: Seconds = 0
+        #: Newest version that a peer reported, and since when a newer version
+        #: than the one in force is known.
+        self._newest_peer_version = 0
+        self._newer_known_since: Seconds = 0
         self.current: CellConfig | None = None
         self._view = view
         self._key = key
@@ -69,52 +71,52 @@
         return {queue.service for queue in self.current.queues}
 
     def find_tenant(self, name: TenantId) -> Tenant | None:
-        """Return a tenant of the configuration in force, if it has that one."""
+        """Return a tenant of the configuration in force, None if unknown."""
         if self.current is None:
             return None
         return self.current.tenant_by_name.get(name)
 
     @property
     def version(self) -> int:
-        """Version of the configuration in force, 0 before the first."""
+        """Version of the configuration in force, 0 before the first one."""
         return 0 if self.current is None else self.current.version
 
     def observe_version(self, version: int) -> None:
-        """Take that a peer has a configuration in force."""
+        """Record the version of the configuration in force at a peer."""
         if version <= self.version:
             return
-        if self._heard_version <= self.version:
-            self._heard_at = self._clock()
-        self._heard_version = max(self._heard_version, version)
+        if self._newest_peer_version <= self.version:
+            self._newer_known_since = self._clock()
+        self._newest_peer_version = max(self._newest_peer_version, version)
 
     def unconfirmed_for(self) -> Seconds:
-        """Return for how long the store has not said what is in force."""
+        """Return the time since the last successful read, seconds."""
         return self._clock() - self._confirmed_at
 
     def is_outdated(self) -> bool:
-        """Whether a newer configuration is in force, and can't be had here.
+        """Whether a newer configuration is in force but can't be read here.
 
-        A peer in touch with the store has it. What it says is not known here,
-        so this process can't tell who may be served.
+        A peer that reaches the store has it. Its content is unknown here, so
+        this process can't decide who may be served.
         """
-        if self._heard_version <= self.version:
+        if self._newest_peer_version <= self.version:
             return False
-        return self._clock() - self._heard_at > _COMES_WITHIN
+        return self._clock() - self._newer_known_since > _PROPAGATION_LIMIT
 
     async def run(self) -> None:
         """Follow until cancelled."""
         while True:
-            wait = 0 if self.current is None else _WAIT
-            began = self._clock()
+            wait = 0 if self.current is None else _READ_WAIT
+            started_at = self._clock()
             if await self._view.catch_up(wait):
-                self._confirmed_at = began
+                self._confirmed_at = started_at
             else:
-                await asyncio.sleep(_FAILED_PAUSE)
-            self._take()
+                await asyncio.sleep(_RETRY_PAUSE)
+            self._apply_stored()
             if self.current is None:
-                await asyncio.sleep(_FAILED_PAUSE)
+                await asyncio.sleep(_RETRY_PAUSE)
 
-    def _take(self) -> None:
+    def _apply_stored(self) -> None:
         raw = self._view.value_by_key.get(self._key, b'')
         if not raw or raw == self._raw:
             return
--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -1,4 +1,4 @@
-"""The process on each machine: its parts and how they are joined."""
+"""The process on each instance: creates its components and connects them."""
 
 from __future__ import annotations
 
@@ -52,12 +52,12 @@
 from orchidrail.workers.port import Advice, TicketsByName
 
 _log = structlog.get_logger()
-#: The platform's network is closed to others; daemons need no shared key.
-_NO_KEY = ''
+#: The platform's network is private, so the daemons need no shared key.
+_NO_CLUSTER_KEY = ''
 
 
 class InstanceDaemon:
-    """All parts of one process.
+    """All components of one process.
 
     Parameters
     ----------
@@ -65,13 +65,13 @@
     """
 
     def __init__(self, settings: InstanceSettings) -> None:
-        """Join the parts; `run` starts them."""
+        """Create and connect the components; `run` starts them."""
         self.settings = settings
         self.metrics = InstanceMetrics()
         self._caller = HttpCaller()
-        self._caller.on_many_unresponsive = self._doubt_connections
-        self._caller.on_drop = self._note_drop
-        self._transport = TcpTransport(settings.name, _NO_KEY)
+        self._caller.on_many_unresponsive = self._check_connections_soon
+        self._caller.on_drop = self._count_drop
+        self._transport = TcpTransport(settings.name, _NO_CLUSTER_KEY)
         self.me = MemberInfo(
             settings.name,
             settings.peers,
@@ -84,7 +84,7 @@
             self._call_store,
             StoreRelays(self.table, self._transport, elapsed).call,
             elapsed,
-            self._note_store_call,
+            self._count_store_call,
         )
         self._store = PlatformLog(self._store_caller)
         self._journal = JournalView(self._store, Topic(JOURNAL_NAME))
@@ -102,12 +102,12 @@
         )
         self.ownership.pinger = self._pinger
         self._pinger.is_standby = self.ownership.is_standby
-        self._hand_over = ShardHandover(
+        self._handover = ShardHandover(
             self._transport,
             lambda: self.ownership.owner,
         )
         self.ownership.store_answers = self._store_caller.direct_route_works
-        self.ownership.hand_over = self._hand_over.hand_over_to
+        self.ownership.handover = self._handover.hand_over_to
         self.config = ConfigFollower(
             JournalView(self._store, OPERATOR_TOPIC),
             CONFIG_KEY,
@@ -141,14 +141,14 @@
             lambda: self.config.current,
             elapsed,
             self.metrics,
-            self._config_is_doubtful,
+            self._config_is_uncertain,
         )
         self.stopping = False
 
     def use_settings(self, settings: InstanceSettings) -> None:
-        """Use changed settings: the addresses of what is called.
+        """Apply changed settings: the addresses of the services called.
 
-        Where this process listens and who it is stay as they are.
+        The name and the listening addresses of this process do not change.
         """
         if settings != self.settings:
             _log.info(
@@ -158,12 +158,12 @@
             )
             self.settings = settings
 
-    def _config_is_doubtful(self) -> bool:
-        """Whether callers can't be judged by the configuration known here.
+    def _config_is_uncertain(self) -> bool:
+        """Whether callers can't be authenticated by the configuration here.
 
-        Where revocation is strict, nobody is served once the store has not
-        confirmed it for as long as a key that was taken away may serve;
-        elsewhere only a newer one that a peer tells of counts.
+        With strict revocation, nobody is served once the store has not
+        confirmed the configuration for as long as a revoked key may be
+        accepted; otherwise only a newer version reported by a peer counts.
         """
         bounds = self.settings.bounds
         if bounds.strict_revocation and (
@@ -173,13 +173,13 @@
         return self.config.is_outdated()
 
     def ready(self) -> bool:
-        """Whether callers' new connections are welcome here."""
+        """Whether this process accepts new connections of callers."""
         return (
             not self.stopping
             and self.config.current is not None
             and self.ownership.owner_is_live()
             and not self.table.is_partitioned()
-            and not self._config_is_doubtful()
+            and not self._config_is_uncertain()
         )
 
     async def run(
@@ -187,10 +187,10 @@
         stack: AsyncExitStack,
         on_failure: Callable[[], object],
     ) -> None:
-        """Start all parts; the stack ends them.
+        """Start all components; the stack stops them.
 
-        Without one of them the process is of no use: `on_failure` is to end it,
-        so that it is started anew.
+        The process can't work without any of them: `on_failure` must stop it,
+        so that it is restarted.
         """
         stack.push_async_callback(self._caller.close)
         stack.push_async_callback(self._transport.close)
@@ -199,8 +199,8 @@
         await server.start(host, int(port))
         stack.push_async_callback(server.close)
         stack.callback(self._pinger.close)
-        parts = BackgroundTasks('part of the process')
-        stack.callback(parts.close)
+        components = BackgroundTasks('part of the process')
+        stack.callback(components.close)
         for work in (
             self.config.run(),
             self._members.run(),
@@ -208,25 +208,25 @@
             self._pinger.ping_others(),
             self.ownership.run(),
         ):
-            parts.spawn(work, on_failure)
+            components.spawn(work, on_failure)
 
     async def stop(self) -> None:
-        """Hand the shard over before this process ends.
+        """Hand the shard over before this process stops.
 
-        This process goes on deciding until another has taken the shard over,
-        which its journal then tells it.
+        This process remains the owner until its journal shows that another one
+        has taken the shard over.
         """
         self.stopping = True
         self.ownership.eligible = False
         peers = sorted(self.table.live_peers(), key=lambda peer: -peer.speed)
-        await self._hand_over.hand_over_to(peers)
+        await self._handover.hand_over_to(peers)
 
     def _owner_ports(self) -> OwnerPorts:
         return OwnerPorts(
             JournalView(self._store, WORKER_TOPIC),
             PlatformWorkers(self._caller),
             decode_worker,
-            self._ask_advice,
+            self._request_advice,
             elapsed,
             time.time,
             self.table.store_unreachable,
@@ -238,43 +238,43 @@
             self.config.find_tenant,
         )
 
-    def _doubt_connections(self) -> None:
+    def _check_connections_soon(self) -> None:
         owner = self.ownership.owner
         if owner is not None:
             owner.check_connections_soon()
 
-    def _note_drop(self, reason: DropReason) -> None:
+    def _count_drop(self, reason: DropReason) -> None:
         self.metrics.connections_dropped.labels(reason.value).inc()
 
-    def _note_store_call(self, way: str, status: int) -> None:
-        self.metrics.store_calls.labels(way, status).inc()
+    def _count_store_call(self, route: str, status: int) -> None:
+        self.metrics.store_calls.labels(route, status).inc()
 
     async def _call_store(self, call: RawCall) -> RawAnswer:
         return await self._caller.call(self.settings.store, call)
 
-    async def _ask_advice(
+    async def _request_advice(
         self,
         lane: InstanceId,
         step_key: str,
         workers: list[WorkerId],
         timeout: Seconds,
     ) -> Advice | None:
-        """Ask by the workers' names; the answer is for the lives asked for."""
+        """Request advice by worker name; map it to the given incarnations."""
         worker_by_name = {
             split_incarnation_id(worker)[0]: worker for worker in workers
         }
         names = list(worker_by_name)
-        given = await self._ask_by_names(lane, step_key, names, timeout)
-        if given is None:
+        advice = await self._request_by_names(lane, step_key, names, timeout)
+        if advice is None:
             return None
         ticket_by_worker = {
             worker_by_name[name]: ticket
-            for name, ticket in given.ticket_by_name.items()
+            for name, ticket in advice.ticket_by_name.items()
             if name in worker_by_name
         }
-        return Advice(ticket_by_worker, given.valid)
+        return Advice(ticket_by_worker, advice.valid)
 
-    async def _ask_by_names(
+    async def _request_by_names(
         self,
         lane: InstanceId,
         step_key: str,
@@ -300,8 +300,8 @@
         )
         if not isinstance(outcome, Ok):
             return None
-        given = outcome.ok_value
-        if not isinstance(given, AdviceGiven) or not given.known:
+        advice = outcome.ok_value
+        if not isinstance(advice, AdviceGiven) or not advice.known:
             return None
-        tickets = dict(zip(given.workers, given.tickets, strict=True))
-        return TicketsByName(tickets, given.valid)
+        tickets = dict(zip(advice.workers, advice.tickets, strict=True))
+        return TicketsByName(tickets, advice.valid)
--- a/orchidrail/instance/handover.py
+++ b/orchidrail/instance/handover.py
@@ -1,4 +1,4 @@
-"""Giving the shard to a peer without a pause."""
+"""Handover of the shard to a peer without an interruption."""
 
 from __future__ import annotations
 
@@ -15,22 +15,23 @@
 from orchidrail.work.model import MemberInfo
 
 _log = structlog.get_logger()
-#: Wait for a peer that was asked to take over; with a slow store that takes
-#: a read and an append of 0.3 s each.
-_TAKE_OVER_WITHIN: Seconds = 1.0
+#: Timeout of a takeover by a peer; with a slow store it needs a read and an
+#: append of 0.3 s each.
+_TAKEOVER_TIMEOUT: Seconds = 1.0
 
 
 class ShardHandover:
-    """Asks peers to take over, one after another.
+    """Asks peers to take the shard over, one after another.
 
-    The owner goes on deciding until another has taken the shard over, which
-    its journal then tells it.
+    The owner continues until its journal shows that another process has taken
+    the shard over.
 
     Parameters
     ----------
     transport : Transport
     owner : callable
-        Returns the owner in this process, None if another has the shard.
+        Returns the owner in this process, None if another process owns the
+        shard.
     """
 
     def __init__(
@@ -38,12 +39,12 @@
         transport: Transport,
         owner: Callable[[], ShardOwner | None],
     ) -> None:
-        """Hold the way to the peers."""
+        """Store the dependencies."""
         self._transport = transport
         self._owner = owner
 
     async def hand_over_to(self, peers: list[MemberInfo]) -> bool:
-        """Give the shard to the first of `peers` that takes it."""
+        """Hand the shard over to the first of `peers` that takes it."""
         owner = self._owner()
         if owner is None:
             return True
@@ -53,17 +54,17 @@
             outcome = await self._transport.call(
                 peer.address,
                 TakeOver(epoch=epoch),
-                _TAKE_OVER_WITHIN,
+                _TAKEOVER_TIMEOUT,
             )
             if outcome != Ok(Ack()):
                 continue
-            if await _set_within(owner.writer.fenced, _TAKE_OVER_WITHIN):
+            if await _wait_for_event(owner.writer.fenced, _TAKEOVER_TIMEOUT):
                 return True
         _log.warning('nobody took over', epoch=epoch)
         return False
 
 
-async def _set_within(event: asyncio.Event, seconds: Seconds) -> bool:
+async def _wait_for_event(event: asyncio.Event, seconds: Seconds) -> bool:
     try:
         await asyncio.wait_for(event.wait(), seconds)
     except TimeoutError:
--- a/orchidrail/instance/main.py
+++ b/orchidrail/instance/main.py
@@ -1,4 +1,4 @@
-"""``orchidrail-instance``: runs one process of the system on the platform."""
+"""``orchidrail-instance``: runs the process of one instance."""
 
 from __future__ import annotations
 
@@ -25,23 +25,24 @@
 
 _log = structlog.get_logger()
 _SETTINGS_VARIABLE = 'ORCHIDRAIL_SETTINGS'
-#: The entry point notices two missed checks, one a second apart, before it
-#: sends no more callers here.
-_UNNOTICED: Seconds = 2.6
-#: Part of the grace that is left for what is still in progress.
-_GRACE_SHARE = 0.8
-#: Idle connections of callers are closed by them first, after 15 s.
-_IDLE_SECONDS = 20
-#: The file may change without a signal.
-_READ_SETTINGS_EVERY: Seconds = 5
+#: Time until the entry point routes no more callers here: it does so after two
+#: failed readiness checks, which are a second apart.
+_READINESS_DELAY: Seconds = 2.6
+#: Fraction of the grace period in which open requests must finish.
+_GRACE_FRACTION = 0.8
+#: Longer than the 15 s after which callers close idle connections themselves.
+_KEEP_ALIVE_SECONDS = 20
+#: Interval at which the file is read again, since it may change without a
+#: signal.
+_SETTINGS_INTERVAL: Seconds = 5
 
 
 class _Server(uvicorn.Server):
-    """Leaves signals to the daemon, which has more to end than HTTP."""
+    """Server that leaves signals to the daemon, which stops more than HTTP."""
 
     @contextmanager
     def capture_signals(self) -> Generator[None]:
-        """Capture none."""
+        """Install no signal handlers."""
         yield
 
 
@@ -60,16 +61,16 @@
             access_log=False,
             server_header=False,
             date_header=False,
-            timeout_keep_alive=_IDLE_SECONDS,
+            timeout_keep_alive=_KEEP_ALIVE_SECONDS,
         )
     )
 
 
 async def serve(path: str, settings: InstanceSettings) -> None:
-    """Serve until a signal asks to stop; then finish what is in progress."""
+    """Serve until a signal requests a stop, then shut down gracefully."""
     stop = asyncio.Event()
     changed = asyncio.Event()
-    _listen_to_signals(stop, changed)
+    _handle_signals(stop, changed)
     async with AsyncExitStack() as stack:
         daemon = InstanceDaemon(settings)
         callers = CallerApi(
@@ -88,12 +89,12 @@
         stack.callback(reloading.cancel)
         _log.info('started', incarnation=daemon.me.incarnation)
         await stop.wait()
-        await _finish(daemon, servers)
+        await _shut_down(daemon, servers)
     _log.info('stopped')
 
 
-def _listen_to_signals(stop: asyncio.Event, changed: asyncio.Event) -> None:
-    """Have signals set the events."""
+def _handle_signals(stop: asyncio.Event, changed: asyncio.Event) -> None:
+    """Install signal handlers that set the events."""
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
@@ -105,10 +106,10 @@
     path: str,
     changed: asyncio.Event,
 ) -> None:
-    """Read the settings file again after a signal, and now and then."""
+    """Read the settings file again after a signal and periodically."""
     while True:
         with suppress(TimeoutError):
-            await asyncio.wait_for(changed.wait(), _READ_SETTINGS_EVERY)
+            await asyncio.wait_for(changed.wait(), _SETTINGS_INTERVAL)
         changed.clear()
         try:
             daemon.use_settings(load_settings(path))
@@ -122,22 +123,22 @@
     Raises
     ------
     OSError, KeyError, ValueError
-        If the file can't be read, or lacks a line, or one makes no sense.
+        If the file can't be read, lacks a line, or a line is invalid.
     """
     return decode_settings(pathlib.Path(path).read_text())
 
 
-async def _finish(daemon: InstanceDaemon, servers: _Servers) -> None:
-    """Hand over, wait until no new callers come, and end their requests."""
-    began = elapsed()
+async def _shut_down(daemon: InstanceDaemon, servers: _Servers) -> None:
+    """Hand over, wait until no callers are routed here, finish requests."""
+    started_at = elapsed()
     _log.info('stopping')
     await daemon.stop()
-    await asyncio.sleep(_UNNOTICED)
+    await asyncio.sleep(_READINESS_DELAY)
     for server, _ in servers:
         server.should_exit = True
-    grace = daemon.settings.bounds.grace * _GRACE_SHARE
-    left = grace - (elapsed() - began)
-    await asyncio.wait([task for _, task in servers], timeout=left)
+    grace = daemon.settings.bounds.grace * _GRACE_FRACTION
+    remaining = grace - (elapsed() - started_at)
+    await asyncio.wait([task for _, task in servers], timeout=remaining)
 
 
 def _serve(
--- a/orchidrail/instance/metrics_api.py
+++ b/orchidrail/instance/metrics_api.py
@@ -1,4 +1,4 @@
-"""The metrics of a process, as Prometheus reads them."""
+"""HTTP endpoint of a process's metrics for Prometheus."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     app = Application(router=Router())
 
     async def serve(request: Request) -> Response:
-        """Return all metrics, whatever is asked for."""
+        """Return all metrics, whatever the path."""
         text = generate_latest(metrics.registry)
         return Response(
             _OK, content=Content(CONTENT_TYPE_LATEST.encode(), text)
--- a/orchidrail/instance/ownership.py
+++ b/orchidrail/instance/ownership.py
@@ -1,4 +1,4 @@
-"""Whether this process owns the shard, and when it should try to."""
+"""Decides when this process takes the shard over and when it releases it."""
 
 from __future__ import annotations
 
@@ -20,50 +20,54 @@
 from orchidrail.work.records import OwnerRecord
 
 _log = structlog.get_logger()
-#: How often the owner's state is judged.
-_JUDGE_EVERY: Seconds = 0.1
-#: How often a process that isn't the owner reads the journal.
-READ_EVERY: Seconds = 0.5
-#: Silence after which the owner counts as dead; a paused process is far
-#: longer silent, a busy one shorter.
-_SILENT_FOR: Seconds = 0.45
-#: Denials in a row after which a reachable machine has no owner.
-_DENIALS = 3
-#: Silence after which the journal is watched for signs of the owner.
+#: Interval at which the liveness of the owner is checked.
+_CHECK_INTERVAL: Seconds = 0.1
+#: Interval at which a standby reads the journal.
+READ_INTERVAL: Seconds = 0.5
+#: Time without a heartbeat after which the owner counts as dead; the gaps of a
+#: paused process are far longer, those of a busy one shorter.
+_DEAD_AFTER: Seconds = 0.45
+#: Consecutive denials after which a reachable instance counts as not owning.
+_MIN_DENIALS = 3
+#: Time without a heartbeat after which the journal is watched for appends of
+#: the owner.
 _WATCH_AFTER: Seconds = 0.25
-#: An owner writes each `CONFIRM_INTERVAL` (0.2 s) or more often, which takes
-#: 6 ms: a journal that stood still for this long has no owner that can write.
-_STILL_FOR: Seconds = 0.3
-#: How long a standby counts after its last word: with 43 processes two of them
-#: speak to each other each 1.8 s or so, by chance. The standbys of other zones
-#: stand in for one that is gone.
-_STANDBY_HEARD_FOR: Seconds = 10.0
-#: A process that has just started has heard few of its zone's peers, and would
-#: take itself for the standby.
-_STANDS_BY_AFTER: Seconds = 2.0
-#: Silence of the owner after which the others follow the journal too.
+#: Time without an append after which no owner can be writing: an owner appends
+#: every `CONFIRM_INTERVAL` (0.2 s) or more often, in 6 ms.
+_NO_APPEND_FOR: Seconds = 0.3
+#: Time after its last heartbeat for which a peer counts as a standby: with 43
+#: processes, random pings reach a given peer about every 1.8 s. The standbys of
+#: other zones cover for one that has failed.
+_STANDBY_LIVE_FOR: Seconds = 10.0
+#: Time after the start before which a process is no standby: it has received
+#: heartbeats from few peers of its zone and would wrongly rank itself first.
+_STANDBY_AFTER: Seconds = 2.0
+#: Time without a heartbeat of the owner after which processes that are not
+#: standbys read the journal too.
 _STANDBYS_FAILED_AFTER: Seconds = 2.5
-#: Wait at the first start, in which the processes meet (they start within
-#: 0.3 s), so that the strongest owns.
-_MEET_FOR: Seconds = 0.6
-#: An owner that hears nobody for this long, but reaches the store, lets
-#: another own: its callers can't be those of the other machines.
-_LONELY_AFTER: Seconds = 0.8
-#: Rest of an owner that let go, in which another takes over.
-_LET_GO_FOR: Seconds = 1.5
-#: A peer that is stronger by this factor is given the shard, once it was
-#: heard for a while in calm times.
-_STRONGER = 1.5
-_STRONGER_FOR: Seconds = 3.0
-#: Wait between the candidates, so that one of them is first.
-_TURN: Seconds = 0.15
-_MOST_TURNS = 6
-
-HandOver = Callable[[list[MemberInfo]], Awaitable[bool]]
+#: Delay at the first start, in which the processes discover each other (they
+#: start within 0.3 s), so that the fastest becomes the owner.
+_DISCOVERY_DELAY: Seconds = 0.6
+#: Time without any heartbeat after which an owner that reaches the store
+#: releases ownership: the other instances can't forward their callers to it.
+_ISOLATED_AFTER: Seconds = 0.8
+#: Time for which a process that released ownership does not take over, so that
+#: another one can.
+_RELEASE_PAUSE: Seconds = 1.5
+#: Factor by which a live peer must be faster to get the shard.
+_FASTER_FACTOR = 1.5
+#: Time for which such a peer must have been live.
+_FASTER_FOR: Seconds = 3.0
+#: Delay between the attempts of successive candidates, so that one of them is
+#: first.
+_CANDIDATE_DELAY: Seconds = 0.15
+_MAX_DELAYS = 6
+
+Handover = Callable[[list[MemberInfo]], Awaitable[bool]]
 
 
 class Ownership:
-    """Follows the journal and takes it over when its owner is gone.
+    """Follows the journal and takes the shard over when its owner has failed.
 
     Parameters
     ----------
@@ -79,18 +83,18 @@
         view: JournalView,
         clock: Callable[[], Seconds],
     ) -> None:
-        """Start without the shard."""
+        """Start without owning the shard."""
         self.owner: ShardOwner | None = None
-        #: Epoch that this process was asked to replace.
+        #: Epoch of the owner that asked this process to take over.
         self.takeover_epoch = Epoch(-1)
         self.takeover_requested = asyncio.Event()
-        #: Cleared when this process is about to stop.
+        #: False once this process is about to stop.
         self.eligible = True
         self.pinger: Pinger | None = None
-        #: Gives the shard to a peer; tells whether that one has it.
-        self.hand_over: HandOver | None = None
-        #: Whether this machine's own calls to the store are answered.
-        self.store_answers: Callable[[], bool] = _unknown
+        #: Hands the shard over; returns whether a peer has taken it.
+        self.handover: Handover | None = None
+        #: Whether this instance's direct calls to the store succeed.
+        self.store_answers: Callable[[], bool] = _store_not_checked
         self.ports: OwnerPorts | None = None
         #: Version of the configuration in force here.
         self.config_version: Callable[[], int] = int
@@ -98,18 +102,18 @@
         self._view = view
         self._clock = clock
         self._started_at = clock()
-        self._read_at: Seconds = -READ_EVERY
-        #: When the journal was first read as it was read last; infinite
-        #: before a read has succeeded.
-        self._still_since: Seconds = math.inf
-        self._rests_until: Seconds = -math.inf
-        self._owns_since: Seconds = -math.inf
-        #: Whether a peer was heard since this process let go last.
-        self._met_peers_since_resign = True
-        self._stronger_since: Seconds = math.inf
+        self._read_at: Seconds = -READ_INTERVAL
+        #: Time of the first read that saw the current end of the journal;
+        #: infinite before a read has succeeded.
+        self._unchanged_since: Seconds = math.inf
+        self._released_until: Seconds = -math.inf
+        self._owner_since: Seconds = -math.inf
+        #: Whether a heartbeat was received since the last release of ownership.
+        self._heartbeat_since_release = True
+        self._faster_peer_since: Seconds = math.inf
 
     def describe(self) -> PeerState:
-        """Return what this process tells its peers."""
+        """Return the heartbeat of this process."""
         me = self._table.me
         claim = self._table.claim
         owner = self.owner
@@ -131,37 +135,39 @@
         )
 
     def owner_is_live(self) -> bool:
-        """Whether the shard has an owner that was heard from lately."""
+        """Whether the shard has an owner with a recent heartbeat."""
         if self.owner is not None:
             return True
-        silent = self._table.owner_silence()
-        return bool(self._table.claim.address) and silent < _SILENT_FOR
+        silence = self._table.owner_silence()
+        return bool(self._table.claim.address) and silence < _DEAD_AFTER
 
     async def run(self) -> None:
-        """Follow, and own when it is this process's turn."""
+        """Follow the journal, and own the shard when a takeover is due."""
         while True:
             await self._follow()
-            if self.eligible and self._owner_is_gone():
-                await self._try_to_own()
+            if self.eligible and self._owner_has_failed():
+                await self._try_takeover()
 
     async def _follow(self) -> None:
         try:
-            await asyncio.wait_for(self.takeover_requested.wait(), _JUDGE_EVERY)
+            await asyncio.wait_for(
+                self.takeover_requested.wait(), _CHECK_INTERVAL
+            )
         except (TimeoutError, asyncio.TimeoutError):
-            if not self._table.claim.epoch and await self._meet_owner():
+            if not self._table.claim.epoch and await self._discover_owner():
                 return
             if not self._read_is_due():
                 return
         await self._read()
 
-    async def _meet_owner(self) -> bool:
-        """Learn who owns without reading all of the journal."""
+    async def _discover_owner(self) -> bool:
+        """Find the current owner without reading the whole journal."""
         owner = await read_owner(self._view)
         if owner is not None:
-            self._learn_owner(owner)
+            self._update_owner(owner)
         return owner is not None
 
-    def _learn_owner(self, owner: OwnerRecord) -> None:
+    def _update_owner(self, owner: OwnerRecord) -> None:
         self._table.update_claim(
             OwnerClaim(owner.epoch, owner.holder, owner.address)
         )
@@ -170,36 +176,36 @@
         claim = self._table.claim
         if not claim.epoch or claim.name == self._table.me.name:
             return True
-        if self._watching():
+        if self._owner_is_suspect():
             return self.is_standby() or self._standbys_failed()
-        if self._clock() - self._read_at < READ_EVERY:
+        if self._clock() - self._read_at < READ_INTERVAL:
             return False
-        settled = self._clock() - self._started_at > _STANDS_BY_AFTER
-        return settled and self.is_standby()
+        past_startup = self._clock() - self._started_at > _STANDBY_AFTER
+        return past_startup and self.is_standby()
 
-    def _watching(self) -> bool:
-        """Whether the owner may be gone."""
+    def _owner_is_suspect(self) -> bool:
+        """Whether the owner may have failed."""
         assert self.pinger is not None
-        silent = self._table.owner_silence() > _WATCH_AFTER
-        return silent or self.pinger.owner_denials > 0
+        unresponsive = self._table.owner_silence() > _WATCH_AFTER
+        return unresponsive or self.pinger.owner_denials > 0
 
     def is_standby(self) -> bool:
-        """Whether this process follows the journal, to take over at once.
+        """Whether this process follows the journal, to take over without delay.
 
-        The best placed of each zone does: more would only read the same
-        bytes, which have a price.
+        Only the first-ranked process of each zone does: reads are billed, and
+        more standbys would read the same bytes.
         """
         return self._standby_by_zone()[self._table.me.zone] is self._table.me
 
     def _standby_by_zone(self) -> dict[str, MemberInfo]:
-        """Return the best placed process of each zone, without the owner."""
-        heard = self._table.live_peers(_STANDBY_HEARD_FOR)
+        """Return the first-ranked process of each zone, except the owner."""
+        members = self._table.live_peers(_STANDBY_LIVE_FOR)
         standby_by_zone: dict[str, MemberInfo] = {}
-        for member in (self._table.me, *heard):
+        for member in (self._table.me, *members):
             if member.name == self._table.claim.name:
                 continue
             best = standby_by_zone.get(member.zone, member)
-            if self._place(member, 0) <= self._place(best, 0):
+            if self._rank(member, 0) <= self._rank(best, 0):
                 standby_by_zone[member.zone] = member
         standby_by_zone.setdefault(self._table.me.zone, self._table.me)
         return standby_by_zone
@@ -212,43 +218,48 @@
         end = self._view.end
         read = await self._view.catch_up()
         if not read:
-            self._still_since = math.inf
-        elif self._view.end != end or self._still_since == math.inf:
-            self._still_since = self._read_at
+            self._unchanged_since = math.inf
+        elif self._view.end != end or self._unchanged_since == math.inf:
+            self._unchanged_since = self._read_at
         owner = current_owner(self._view)
         if owner is not None:
-            self._learn_owner(owner)
+            self._update_owner(owner)
         return read
 
-    def _owner_is_gone(self) -> bool:
+    def _owner_has_failed(self) -> bool:
         claim = self._table.claim
         if self.takeover_requested.is_set():
             self.takeover_requested.clear()
             return self.takeover_epoch >= claim.epoch
-        if self._view.end is None or self._clock() < self._rests_until:
+        if self._view.end is None or self._clock() < self._released_until:
             return False
         if not claim.address:
-            return self._clock() - self._started_at > _MEET_FOR
+            return self._clock() - self._started_at > _DISCOVERY_DELAY
         if claim.name == self._table.me.name:
             return True
         assert self.pinger is not None
-        silent = self._table.owner_silence() > _SILENT_FOR
-        unheard = silent or self.pinger.owner_denials >= _DENIALS
-        return unheard and self._read_at - self._still_since >= _STILL_FOR
+        unresponsive = self._table.owner_silence() > _DEAD_AFTER
+        presumed_dead = (
+            unresponsive or self.pinger.owner_denials >= _MIN_DENIALS
+        )
+        return (
+            presumed_dead
+            and self._read_at - self._unchanged_since >= _NO_APPEND_FOR
+        )
 
-    async def _try_to_own(self) -> None:
+    async def _try_takeover(self) -> None:
         epoch = self._table.claim.epoch
         if self.takeover_epoch < epoch or not epoch:
-            await asyncio.sleep(self._turn() * _TURN)
+            await asyncio.sleep(self._candidates_before() * _CANDIDATE_DELAY)
             await self._read()
             if self._table.claim.epoch != epoch:
                 return
-            if epoch and not self._owner_is_gone():
+            if epoch and not self._owner_has_failed():
                 return
         else:
             await self._read()
         assert self.ports is not None
-        began = self._clock()
+        started_at = self._clock()
         try:
             writer = await take_over(
                 self._view,
@@ -257,10 +268,10 @@
                 epoch,
             )
         except TakeOverError as error:
-            _log.info('no take-over', reason=str(error), epoch=epoch)
+            _log.info('takeover failed', reason=str(error), epoch=epoch)
             await self._read()
             return
-        self.ports.metrics.takeover_seconds.observe(self._clock() - began)
+        self.ports.metrics.takeover_seconds.observe(self._clock() - started_at)
         await self._own(ShardOwner(writer, self.ports))
 
     async def _own(self, owner: ShardOwner) -> None:
@@ -268,82 +279,83 @@
         me = self._table.me
         self._table.update_claim(OwnerClaim(epoch, me.name, me.address))
         self.owner = owner
-        self._owns_since = self._clock()
+        self._owner_since = self._clock()
         assert self.pinger is not None
         self.pinger.ping_all()
-        lanes = asyncio.create_task(self._watch_peers(owner))
+        watching = asyncio.create_task(self._watch_peers(owner))
         _log.info('shard taken over', epoch=epoch)
         try:
             await owner.run()
         finally:
-            lanes.cancel()
+            watching.cancel()
             self.owner = None
-        # Another may have written: look who, before anything else.
+        # Another process may have fenced this one: find the new owner first.
         await self._read()
 
     async def _watch_peers(self, owner: ShardOwner) -> None:
-        """Ask for advice through all that are heard; let go if need be."""
+        """Use all live peers as advice lanes; release ownership if isolated."""
         while True:
-            heard = [member.name for member in self._table.live_peers()]
-            owner.set_advice_lanes([self._table.me.name, *heard])
-            self._let_go_if_lonely(owner)
-            await self._give_to_stronger()
-            await asyncio.sleep(_JUDGE_EVERY)
-
-    def _let_go_if_lonely(self, owner: ShardOwner) -> None:
-        if self._clock() - self._owns_since < _LONELY_AFTER:
-            # One that has just started has not been answered yet.
+            names = [member.name for member in self._table.live_peers()]
+            owner.set_advice_lanes([self._table.me.name, *names])
+            self._release_if_isolated(owner)
+            await self._hand_over_to_faster()
+            await asyncio.sleep(_CHECK_INTERVAL)
+
+    def _release_if_isolated(self, owner: ShardOwner) -> None:
+        if self._clock() - self._owner_since < _ISOLATED_AFTER:
+            # The replies to the first pings have not arrived yet.
             return
-        if self._table.live_peers(_LONELY_AFTER):
-            self._met_peers_since_resign = True
+        if self._table.live_peers(_ISOLATED_AFTER):
+            self._heartbeat_since_release = True
             return
-        confirmed = owner.writer.unconfirmed_for() < _STILL_FOR
-        if self._met_peers_since_resign and confirmed and self._table.peers():
+        confirmed = owner.writer.unconfirmed_for() < _NO_APPEND_FOR
+        if self._heartbeat_since_release and confirmed and self._table.peers():
             _log.warning('nobody heard, letting go')
-            self._met_peers_since_resign = False
-            self._rests_until = self._clock() + _LET_GO_FOR
+            self._heartbeat_since_release = False
+            self._released_until = self._clock() + _RELEASE_PAUSE
             owner.resign()
 
-    async def _give_to_stronger(self) -> None:
-        """Hand over to a machine on which decisions take far less time."""
-        least = self._table.me.speed * _STRONGER
-        strong = [
-            peer for peer in self._table.live_peers() if peer.speed >= least
+    async def _hand_over_to_faster(self) -> None:
+        """Hand over to an instance on which decisions are much faster."""
+        min_speed = self._table.me.speed * _FASTER_FACTOR
+        faster = [
+            peer for peer in self._table.live_peers() if peer.speed >= min_speed
         ]
         now = self._clock()
-        if not strong:
-            self._stronger_since = math.inf
+        if not faster:
+            self._faster_peer_since = math.inf
             return
-        self._stronger_since = min(self._stronger_since, now)
-        if now - self._stronger_since < _STRONGER_FOR:
+        self._faster_peer_since = min(self._faster_peer_since, now)
+        if now - self._faster_peer_since < _FASTER_FOR:
             return
-        self._stronger_since = math.inf
-        if self.hand_over is not None:
-            await self.hand_over(strong[:1])
+        self._faster_peer_since = math.inf
+        if self.handover is not None:
+            await self.handover(faster[:1])
 
-    def _turn(self) -> int:
-        """Return how many candidates go before this process.
+    def _candidates_before(self) -> int:
+        """Return how many candidates try before this process.
 
-        Those that follow the journal are the first to notice, and go first.
+        The standbys follow the journal and detect a failure first, so they go
+        first.
         """
         claim = self._table.claim
         if claim.name == self._table.me.name:
             return 0
-        mine = self._place(self._table.me, claim.epoch)
+        mine = self._rank(self._table.me, claim.epoch)
         standbys = list(self._standby_by_zone().values())
         before = sum(
-            self._place(member, claim.epoch) < mine
+            self._rank(member, claim.epoch) < mine
             for member in standbys
             if member is not self._table.me
         )
         behind = 0 if self._table.me in standbys else len(standbys)
-        return min(max(before, behind), _MOST_TURNS)
+        return min(max(before, behind), _MAX_DELAYS)
 
-    def _place(self, member: MemberInfo, salt: int) -> tuple[float, int]:
-        """Return a candidate's place, least first: by strength, then hash."""
+    def _rank(self, member: MemberInfo, salt: int) -> tuple[float, int]:
+        """Return a candidate's sort key: the fastest first, then by hash."""
         digest = xxhash.xxh64_intdigest(f'{member.name}/{salt}'.encode())
         return -member.speed, digest
 
 
-def _unknown() -> bool:
+def _store_not_checked() -> bool:
     return False
--- a/orchidrail/instance/peer_service.py
+++ b/orchidrail/instance/peer_service.py
@@ -1,4 +1,4 @@
-"""Answers to the other processes of the system."""
+"""Handles the messages of the other instances."""
 
 from __future__ import annotations
 
@@ -36,33 +36,33 @@
     from orchidrail.shard.owner import ShardOwner
 
 _decode_queue = msgspec.msgpack.Decoder(QueueSettings).decode
-_LEAVING = Refusal(code=RefusalCode.LEAVING, detail='stopping too')
+_STOPPING = Refusal(code=RefusalCode.LEAVING, detail='stopping too')
 _NOT_OWNER = WorkAnswer(code=WorkCode.NOT_OWNER)
 _CODE_BY_ACCEPTED = {
     True: WorkCode.OK,
     False: WorkCode.REJECTED,
     None: WorkCode.UNCERTAIN,
 }
-#: Wait for the store's word that this process still owns.
-_CONFIRM_WITHIN: Seconds = 0.6
+#: Timeout of the store's confirmation that this process still owns the shard.
+_CONFIRM_TIMEOUT: Seconds = 0.6
 
 
-async def _unknown_job(owner: ShardOwner) -> WorkAnswer:
-    """Say that there is no such job only as the owner of this moment."""
-    if await owner.writer.confirm(_CONFIRM_WITHIN):
+async def _deny_job(owner: ShardOwner) -> WorkAnswer:
+    """Deny a job only once the store confirms that this owner is current."""
+    if await owner.writer.confirm(_CONFIRM_TIMEOUT):
         return WorkAnswer(code=WorkCode.NO_SUCH_JOB)
     return _NOT_OWNER
 
 
 class PeerService:
-    """One process's answers, by the type of the message.
+    """Answers the messages of peers, by message type.
 
     Parameters
     ----------
     table : PeerTable
     ownership : Ownership
     store_call : callable
-        Makes a call to the store from this machine only.
+        Calls the store from this instance, without a relay.
     advice : AdviceCalls
     """
 
@@ -73,7 +73,7 @@
         store_call: SendCall,
         advice: AdviceCalls,
     ) -> None:
-        """Hold what the answers need."""
+        """Store the dependencies."""
         self._table = table
         self._ownership = ownership
         self._store_call = store_call
@@ -129,7 +129,7 @@
             return _NOT_OWNER
         state = owner.job_state(message.job_id)
         if state is None or not state.visible_to(message.tenant):
-            return await _unknown_job(owner)
+            return await _deny_job(owner)
         return WorkAnswer(
             code=WorkCode.OK,
             phase=int(state.phase),
@@ -143,13 +143,13 @@
             return _NOT_OWNER
         state = owner.job_state(message.job_id)
         if state is not None and not state.visible_to(message.tenant):
-            return await _unknown_job(owner)
+            return await _deny_job(owner)
         try:
             phase = await owner.cancel(message.job_id)
         except ConnectionAbortedError:
             return WorkAnswer(code=WorkCode.UNCERTAIN)
         if phase is None:
-            return await _unknown_job(owner)
+            return await _deny_job(owner)
         return WorkAnswer(code=WorkCode.OK, phase=int(phase))
 
     @_answer.register
@@ -188,7 +188,7 @@
     @_answer.register
     async def _(self, message: TakeOver) -> Message:
         if not self._ownership.eligible:
-            return _LEAVING
+            return _STOPPING
         self._ownership.takeover_epoch = message.epoch
         self._ownership.takeover_requested.set()
         await asyncio.sleep(0)
--- a/orchidrail/instance/settings.py
+++ b/orchidrail/instance/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one process of the system."""
+"""Settings of the process of one instance."""
 
 from __future__ import annotations
 
@@ -13,17 +13,18 @@
     Parameters
     ----------
     longest_lease : float
-        Workers cut longer leases to this.
+        Workers shorten longer leases to this.
     grace : float
-        From the request to stop until the process is killed.
+        Time from the request to stop until the process is killed.
     status_kept : float
-        For so long an ended job's state must be known.
+        Time for which the state of an ended job must be available.
     stop_takes : float
-        A run that is told to stop is gone after this.
+        Time after which a run that was told to stop has ended.
     strict_revocation : bool
-        Whether nobody is to be served by a configuration that the store has
-        not confirmed for `revocation`.
+        Whether calls are rejected once the store has not confirmed the
+        configuration for `revocation`.
     revocation : float
+        Time for which a revoked key may still be accepted.
     """
 
     longest_lease: Seconds = 6
@@ -35,7 +36,7 @@
 
 
 class InstanceSettings(msgspec.Struct, frozen=True):
-    """Who a process is and where it listens."""
+    """Identity and addresses of a process."""
 
     name: InstanceId
     zone: str
@@ -46,6 +47,6 @@
     metrics: Address
     store: Address
     advice: Address = Address('')
-    #: Processor of the machine, in cores.
+    #: Processor capacity of the instance, cores.
     speed: float = 1
     bounds: Bounds = Bounds()
--- a/orchidrail/instance/store_relays.py
+++ b/orchidrail/instance/store_relays.py
@@ -1,4 +1,4 @@
-"""Calls to the store through the peers that it answers."""
+"""Relays calls to the store through peers that can reach it."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from orchidrail.wire.transport import TcpTransport
 from orchidrail.work.model import MemberInfo
 
-#: Time that a relayed call may take beyond its own patience.
+#: Time that a relayed call may take beyond its own timeout.
 RELAY_SLACK: Seconds = 0.1
-#: The same for a read, whose answer may be long and the link slow.
+#: The same for a read, whose reply may be long and the link slow.
 _READ_SLACK: Seconds = 1.5
-#: For how long a peer that could not help is passed over: what it tells of
-#: itself may be 1.5 s old.
-_PASS_OVER_FOR: Seconds = 1.5
+#: Time for which a peer whose relay failed is skipped: the store reachability
+#: that it reported may be 1.5 s old.
+_SKIP_FAILED_FOR: Seconds = 1.5
 
 
 class StoreRelays:
-    """Chooses a peer for each call.
+    """Chooses a peer for each relayed call.
 
     Parameters
     ----------
@@ -40,38 +40,39 @@
         transport: TcpTransport,
         clock: Callable[[], Seconds],
     ) -> None:
-        """Hold all peers for equal."""
+        """Start without failed peers."""
         self._table = table
         self._transport = transport
         self._clock = clock
         self._failed_at_by_peer: dict[InstanceId, Seconds] = {}
 
     async def call(self, call: RawCall) -> RawAnswer:
-        """Make a call through a peer that reaches the store."""
-        peer = self._choose()
+        """Relay a call through a peer that reaches the store."""
+        peer = self._choose_peer()
         if peer is None:
             return RawAnswer(0, b'no peer', reached=False)
-        answer = await self._call_through(peer, call)
+        answer = await self._relay(peer, call)
         if not answer.usable:
             self._failed_at_by_peer[peer.name] = self._clock()
         return answer
 
-    def _choose(self) -> MemberInfo | None:
-        helpers = self._table.live_peers_with_store()
-        since = self._clock() - _PASS_OVER_FOR
-        fresh = [
+    def _choose_peer(self) -> MemberInfo | None:
+        candidates = self._table.live_peers_with_store()
+        skip_before = self._clock() - _SKIP_FAILED_FOR
+        not_failed = [
             peer
-            for peer in helpers
-            if self._failed_at_by_peer.get(peer.name, since) <= since
+            for peer in candidates
+            if self._failed_at_by_peer.get(peer.name, skip_before)
+            <= skip_before
         ]
-        return random.choice(fresh or helpers) if helpers else None
+        return random.choice(not_failed or candidates) if candidates else None
 
-    async def _call_through(
+    async def _relay(
         self,
         peer: MemberInfo,
         call: RawCall,
     ) -> RawAnswer:
-        patience = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
+        call_timeout = min(call.timeout, DIRECT_TIMEOUT + call.max_hold)
         slack = _READ_SLACK if call.method == 'GET' else RELAY_SLACK
         outcome = await self._transport.call(
             peer.address,
@@ -79,10 +80,10 @@
                 method=call.method,
                 target=call.target,
                 body=call.body,
-                timeout=patience,
+                timeout=call_timeout,
                 waits=call.max_hold,
             ),
-            patience + slack,
+            call_timeout + slack,
         )
         if not isinstance(outcome, Ok):
             return RawAnswer(0, outcome.err_value.value.encode())
--- a/orchidrail/instance/tests/__init__.py
+++ b/orchidrail/instance/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of the process of one instance."""
--- a/orchidrail/instance/tests/test_config_follower.py
+++ b/orchidrail/instance/tests/test_config_follower.py
@@ -1,4 +1,4 @@
-"""Which configuration a process goes by, and when it may not."""
+"""Tests of which configuration is in force and when it is outdated."""
 
 from __future__ import annotations
 
@@ -27,14 +27,14 @@
 class ConfigFollowerTest(AsyncTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.late: float = 0
+        self.clock_offset: float = 0
         self.store = MemoryStore()
 
-    def play(
+    def run_scenario(
         self,
-        scene: Callable[[ConfigFollower], Awaitable[None]],
+        scenario: Callable[[ConfigFollower], Awaitable[None]],
     ) -> None:
-        """Run a scene beside a follower that has version 3."""
+        """Run a scenario with a follower that has version 3."""
 
         async def run() -> None:
             loop = asyncio.get_running_loop()
@@ -44,13 +44,13 @@
                 'config',
                 _decode,
                 InstanceMetrics(),
-                lambda: loop.time() + self.late,
+                lambda: loop.time() + self.clock_offset,
             )
             await self.write(b'3')
             following = asyncio.create_task(follower.run())
             await asyncio.sleep(0.1)
             self.assertEqual(3, follower.version)
-            await scene(follower)
+            await scenario(follower)
             following.cancel()
 
         self.run_async(run())
@@ -58,8 +58,8 @@
     async def write(self, raw: bytes) -> None:
         await self.store.append(_TOPIC, [KeyedRecord('config', raw)])
 
-    def test_one_that_makes_no_sense_leaves_the_last_in_force(self) -> None:
-        async def scene(follower: ConfigFollower) -> None:
+    def test_an_invalid_configuration_leaves_the_last_in_force(self) -> None:
+        async def scenario(follower: ConfigFollower) -> None:
             await self.write(b'?')
             await asyncio.sleep(1.1)
             self.assertEqual(3, follower.version)
@@ -67,20 +67,20 @@
             await asyncio.sleep(1.1)
             self.assertEqual(5, follower.version)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_peer_that_knows_more_makes_it_doubtful(self) -> None:
-        """A machine that the store turns away, while keys are taken away."""
+    def test_is_outdated_after_a_peer_reports_a_newer_version(self) -> None:
+        """The store refuses an instance while keys are revoked."""
 
-        async def scene(follower: ConfigFollower) -> None:
+        async def scenario(follower: ConfigFollower) -> None:
             self.store.fault = StoreFault.REFUSES
             follower.observe_version(3)
-            self.late = 10
+            self.clock_offset = 10
             self.assertFalse(follower.is_outdated())
             for version in (4, 6, 7):
                 follower.observe_version(version)
                 self.assertFalse(follower.is_outdated())
-                self.late += 0.6
+                self.clock_offset += 0.6
             follower.observe_version(9)
             self.assertTrue(follower.is_outdated())
             self.store.fault = None
@@ -88,15 +88,15 @@
             await asyncio.sleep(1.3)
             self.assertFalse(follower.is_outdated())
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_it_knows_how_long_nobody_has_confirmed_it(self) -> None:
-        async def scene(follower: ConfigFollower) -> None:
+    def test_reports_the_time_since_the_last_confirmation(self) -> None:
+        async def scenario(follower: ConfigFollower) -> None:
             self.store.fault = StoreFault.REFUSES
-            self.late = 5
+            self.clock_offset = 5
             self.assertGreater(follower.unconfirmed_for(), 4)
             self.store.fault = None
             await asyncio.sleep(1.5)
             self.assertLess(follower.unconfirmed_for(), 2)
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/instance/tests/test_daemon.py
+++ b/orchidrail/instance/tests/test_daemon.py
@@ -1,7 +1,7 @@
-"""The parts of one process fit together.
+"""Tests that the components of one process fit together.
 
-A part that was asked for before it was made kept every process from starting,
-which no test of the parts could show.
+A component that was used before it was created kept every process from
+starting, which the tests of single components can't detect.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 
 
 class DaemonTest(AsyncTestCase):
-    def test_strict_revocation_serves_nobody_unconfirmed(self) -> None:
-        """A machine that hears neither the store nor a peer for long."""
+    def test_strict_revocation_rejects_calls_without_confirmation(self) -> None:
+        """An instance that has long received nothing from store and peers."""
 
-        async def scene() -> None:
-            for strict, turned in ((True, True), (False, False)):
+        async def scenario() -> None:
+            for strict, rejected in ((True, True), (False, False)):
                 bounds = Bounds(strict_revocation=strict, revocation=0.05)
                 daemon = InstanceDaemon(_settings(bounds))
                 daemon.config.current = CellConfig(3)
                 self.assertTrue(daemon.authenticator.config().is_ok())
                 await asyncio.sleep(0.1)
-                self.assertIs(turned, daemon.authenticator.config().is_err())
+                self.assertIs(rejected, daemon.authenticator.config().is_err())
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
-    def test_its_parts_can_be_joined(self) -> None:
-        async def scene() -> None:
+    def test_components_can_be_connected(self) -> None:
+        async def scenario() -> None:
             daemon = InstanceDaemon(_settings(Bounds()))
             ports = daemon.ownership.ports
             assert ports is not None
             self.assertIsNone(ports.services())
 
-        self.run_async(scene())
+        self.run_async(scenario())
--- a/orchidrail/instance/tests/test_ownership.py
+++ b/orchidrail/instance/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of when a process takes the shard over, over a store in memory."""
+"""Tests of shard takeover, with a store in memory."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
 from orchidrail.wire.messages import Message, PeerState
 from orchidrail.work.model import MemberInfo
 
-_SOON = 0.4
-_LOOK_EVERY = 0.02
+_SHORT_WAIT = 0.4
+_POLL_INTERVAL = 0.02
 
 
 async def _until(condition: Callable[[], bool]) -> None:
-    """Wait for a condition; the test's own limit ends a wait in vain."""
+    """Wait for a condition; the time limit of the test bounds the wait."""
     while not condition():
-        await asyncio.sleep(_LOOK_EVERY)
+        await asyncio.sleep(_POLL_INTERVAL)
 
 
 class _Process:
-    """One process's ownership, its peers reached through `by_address`."""
+    """The ownership of one process, with its peers in `by_address`."""
 
     def __init__(
         self,
@@ -59,9 +59,9 @@
         )
         self.ownership.pinger = self.pinger
         self.ownership.ports = make_ports(store)
-        self.ownership.hand_over = self._ask_to_take
+        self.ownership.handover = self._request_takeover
         self.refuses = False
-        self.cut_off = False
+        self.is_partitioned = False
         self.tasks: list[asyncio.Task[None]] = []
 
     def _answer(
@@ -72,15 +72,15 @@
         peer = self._by_address.get(address)
         if peer is None or not isinstance(message, PeerState):
             return CallFailure.NOT_SENT
-        if peer.refuses or peer.cut_off or self.cut_off:
+        if peer.refuses or peer.is_partitioned or self.is_partitioned:
             return CallFailure.NOT_SENT
         peer.table.record_heartbeat(message)
         return peer.ownership.describe()
 
-    async def _ask_to_take(self, peers: list[MemberInfo]) -> bool:
-        asked = self._by_address[peers[0].address].ownership
-        asked.takeover_epoch = self.table.claim.epoch
-        asked.takeover_requested.set()
+    async def _request_takeover(self, peers: list[MemberInfo]) -> bool:
+        target = self._by_address[peers[0].address].ownership
+        target.takeover_epoch = self.table.claim.epoch
+        target.takeover_requested.set()
         return True
 
     def start(self) -> None:
@@ -101,11 +101,11 @@
 
 
 class OwnershipTest(AsyncTestCase):
-    def play(
+    def run_scenario(
         self,
-        scene: Callable[[dict[str, _Process], MemoryStore], Awaitable[None]],
+        scenario: Callable[[dict[str, _Process], MemoryStore], Awaitable[None]],
     ) -> None:
-        """Run a scene with three processes."""
+        """Run a scenario with three processes."""
 
         async def run() -> None:
             store = MemoryStore()
@@ -119,7 +119,7 @@
                     process.table.add_member(make_member(other))
                 process.start()
             try:
-                await scene(by_name, store)
+                await scenario(by_name, store)
             finally:
                 for process in by_name.values():
                     process.kill()
@@ -133,25 +133,29 @@
             if process.ownership.owner is not None
         ]
 
-    def test_one_process_owns_and_all_know_it(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_one_process_owns_and_all_others_learn_it(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             owners = self.owners(by_name)
-            # The others hear of it when they next speak to one that knows.
+            # The others learn the owner at their next ping.
             await _until(
                 lambda: (
                     {one.table.claim.name for one in by_name.values()}
                     == set(owners)
                 )
             )
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_SHORT_WAIT)
             self.assertEqual(owners, self.owners(by_name))
             self.assertEqual(1, len(owners))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
     def test_a_dead_owner_is_replaced(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             first = self.owners(by_name)[0]
             by_name.pop(first).kill()
@@ -160,65 +164,69 @@
             claim = by_name[owners[0]].table.claim
             self.assertEqual(Epoch(2), claim.epoch)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_live_owner_is_left_alone_while_the_store_is_down(self) -> None:
-        async def scene(
+    def test_a_live_owner_is_not_replaced_while_the_store_is_down(self) -> None:
+        async def scenario(
             by_name: dict[str, _Process],
             store: MemoryStore,
         ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             before = self.owners(by_name)
             store.fault = StoreFault.REFUSES
-            await asyncio.sleep(_SOON * 4)
+            await asyncio.sleep(_SHORT_WAIT * 4)
             store.fault = None
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_SHORT_WAIT)
             self.assertEqual(before, self.owners(by_name))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_owner_that_writes_is_left_alone_by_one_that_misses_it(
+    def test_an_owner_that_appends_is_not_replaced_for_missing_heartbeats(
         self,
     ) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             before = self.owners(by_name)
             owner = by_name[before[0]]
             owner.refuses = True
-            await asyncio.sleep(_SOON * 4)
+            await asyncio.sleep(_SHORT_WAIT * 4)
             self.assertEqual(before, self.owners(by_name))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_owner_that_hears_nobody_lets_another_own(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_an_isolated_owner_is_replaced(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             first = self.owners(by_name)[0]
-            await asyncio.sleep(_SOON)
-            by_name[first].cut_off = True
+            await asyncio.sleep(_SHORT_WAIT)
+            by_name[first].is_partitioned = True
             await _until(
                 lambda: self.owners(by_name) not in ([], [first]),
             )
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_an_owner_that_has_just_started_is_not_lonely(self) -> None:
-        async def scene() -> None:
-            alone = _Process('a', MemoryStore(), {})
-            alone.table.add_member(make_member('b'))
-            alone.start()
-            await _until(lambda: alone.ownership.owner is not None)
-            owner = alone.ownership.owner
+    def test_an_owner_that_has_just_started_is_not_isolated(self) -> None:
+        async def scenario() -> None:
+            single = _Process('a', MemoryStore(), {})
+            single.table.add_member(make_member('b'))
+            single.start()
+            await _until(lambda: single.ownership.owner is not None)
+            owner = single.ownership.owner
             assert owner is not None
             self.assertEqual(1, owner.writer.owner.epoch)
             await asyncio.sleep(0.4)
-            self.assertIs(owner, alone.ownership.owner)
-            alone.kill()
+            self.assertIs(owner, single.ownership.owner)
+            single.kill()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
-    def test_a_process_that_joins_reads_only_who_owns(self) -> None:
-        async def scene(
+    def test_a_joining_process_reads_only_the_owner_record(self) -> None:
+        async def scenario(
             by_name: dict[str, _Process],
             store: MemoryStore,
         ) -> None:
@@ -234,10 +242,12 @@
             self.assertIsNone(joining.ownership._view.end)
             joining.kill()
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_stronger_machine_is_given_the_shard(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_hands_over_to_a_faster_instance(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             first = self.owners(by_name)[0]
             other = next(name for name in by_name if name != first)
@@ -245,13 +255,15 @@
             strong.me = msgspec.structs.replace(strong.me, speed=4)
             await _until(lambda: self.owners(by_name) == [other])
 
-        self.patch(ownership, '_STRONGER_FOR', 0.2)
-        self.play(scene)
+        self.patch(ownership, '_FASTER_FOR', 0.2)
+        self.run_scenario(scenario)
 
-    def test_one_process_of_a_zone_follows_the_journal(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_one_standby_in_a_zone_follows_the_journal(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
-            await asyncio.sleep(_SOON * 2)
+            await asyncio.sleep(_SHORT_WAIT * 2)
             others = [
                 process.ownership
                 for name, process in by_name.items()
@@ -259,7 +271,7 @@
             ]
             following = [other for other in others if other.is_standby()]
             self.assertEqual(1, len(following))
-            # In a large cell two processes may not speak for a while.
+            # In a large cell two given processes ping each other rarely.
             for process in by_name.values():
                 process._by_address = {}
             for other in others:
@@ -267,10 +279,12 @@
             following = [other for other in others if other.is_standby()]
             self.assertEqual(1, len(following))
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_those_that_follow_the_journal_take_over_first(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_standbys_take_over_first(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: len(self.owners(by_name)) == 1)
             owner = self.owners(by_name)[0]
             await asyncio.sleep(0.3)
@@ -279,22 +293,25 @@
                 for name, process in by_name.items()
                 if name != owner
             ]
-            turn_by_following = {
-                other.is_standby(): other._turn() for other in others
+            candidates_by_standby = {
+                other.is_standby(): other._candidates_before()
+                for other in others
             }
-            self.assertEqual({True: 0, False: 1}, turn_by_following)
+            self.assertEqual({True: 0, False: 1}, candidates_by_standby)
 
-        self.play(scene)
+        self.run_scenario(scenario)
 
-    def test_a_peer_that_is_asked_takes_over(self) -> None:
-        async def scene(by_name: dict[str, _Process], _: MemoryStore) -> None:
+    def test_a_peer_takes_over_on_request(self) -> None:
+        async def scenario(
+            by_name: dict[str, _Process], _: MemoryStore
+        ) -> None:
             await _until(lambda: bool(self.owners(by_name)))
             first = self.owners(by_name)[0]
             other = next(name for name in by_name if name != first)
-            asked = by_name[other].ownership
-            asked.takeover_epoch = Epoch(1)
-            asked.takeover_requested.set()
+            target = by_name[other].ownership
+            target.takeover_epoch = Epoch(1)
+            target.takeover_requested.set()
             by_name[first].ownership.eligible = False
             await _until(lambda: self.owners(by_name) == [other])
 
-        self.play(scene)
+        self.run_scenario(scenario)
--- a/orchidrail/instance/tests/test_peer_service.py
+++ b/orchidrail/instance/tests/test_peer_service.py
@@ -1,4 +1,4 @@
-"""Tests of what a process answers its peers as the shard's owner."""
+"""Tests of the answers of the shard's owner to its peers."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
         super().setUp()
         self.store = MemoryStore()
 
-    async def take(self, epoch: int) -> ShardOwner:
+    async def take_over_shard(self, epoch: int) -> ShardOwner:
         view = JournalView(self.store, Topic('journal'))
         writer = await take_over(view, _ME, time.monotonic, Epoch(epoch))
         return ShardOwner(writer, make_ports(self.store))
 
     async def ask(self, owner: ShardOwner) -> Message:
-        """Ask a process that believes itself the owner for the job."""
+        """Query a job from a process that considers itself the owner."""
         ownership = cast('Any', SimpleNamespace(owner=owner))
         service = PeerService(
             cast('Any', None),
@@ -49,26 +49,26 @@
     def code(self, answer: Message) -> WorkCode:
         return cast('Any', answer).code
 
-    def test_an_owner_that_was_paused_does_not_deny_a_job(self) -> None:
-        async def scene() -> None:
-            paused = await self.take(0)
-            following = await self.take(1)
-            serving = asyncio.create_task(following.run())
+    def test_a_replaced_owner_does_not_deny_a_job(self) -> None:
+        async def scenario() -> None:
+            outdated_owner = await self.take_over_shard(0)
+            successor = await self.take_over_shard(1)
+            successor_task = asyncio.create_task(successor.run())
             queue = make_job(StepSpec(1)).queue
-            await following.submit(_JOB, queue, JobSpec('t', (StepSpec(1),)))
-            paused.writer.confirmed_at -= 5
-            waking = asyncio.create_task(paused.run())
-            answer = await self.ask(paused)
+            await successor.submit(_JOB, queue, JobSpec('t', (StepSpec(1),)))
+            outdated_owner.writer.confirmed_at -= 5
+            outdated_task = asyncio.create_task(outdated_owner.run())
+            answer = await self.ask(outdated_owner)
             self.assertIs(WorkCode.NOT_OWNER, self.code(answer))
-            serving.cancel()
-            waking.cancel()
+            successor_task.cancel()
+            outdated_task.cancel()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
-    def test_an_owner_tells_why_a_job_was_given_up(self) -> None:
-        async def scene() -> None:
-            owner = await self.take(0)
-            serving = asyncio.create_task(owner.run())
+    def test_an_owner_reports_the_failure_cause(self) -> None:
+        async def scenario() -> None:
+            owner = await self.take_over_shard(0)
+            owner_task = asyncio.create_task(owner.run())
             queue = make_job(StepSpec(1)).queue
             await owner.submit(_JOB, queue, JobSpec('t', (StepSpec(1),)))
             job = owner.state.job_by_id.pop(_JOB)
@@ -77,29 +77,29 @@
             await owner.state.save(job).wait()
             answer = cast('Any', await self.ask(owner))
             self.assertEqual('crashedWorkers', answer.cause)
-            serving.cancel()
+            owner_task.cancel()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
     def test_a_confirmed_owner_denies_a_job(self) -> None:
-        async def scene() -> None:
-            owner = await self.take(0)
-            serving = asyncio.create_task(owner.run())
+        async def scenario() -> None:
+            owner = await self.take_over_shard(0)
+            owner_task = asyncio.create_task(owner.run())
             owner.writer.confirmed_at -= 5
             answer = await self.ask(owner)
             self.assertIs(WorkCode.NO_SUCH_JOB, self.code(answer))
-            serving.cancel()
+            owner_task.cancel()
 
-        self.run_async(scene())
+        self.run_async(scenario())
 
-    def test_nothing_is_denied_while_the_store_is_away(self) -> None:
-        async def scene() -> None:
-            owner = await self.take(0)
+    def test_denies_nothing_while_the_store_is_unreachable(self) -> None:
+        async def scenario() -> None:
+            owner = await self.take_over_shard(0)
             self.store.fault = StoreFault.REFUSES
-            serving = asyncio.create_task(owner.run())
+            owner_task = asyncio.create_task(owner.run())
             owner.writer.confirmed_at -= 5
             answer = await self.ask(owner)
             self.assertIs(WorkCode.NOT_OWNER, self.code(answer))
-            serving.cancel()
+            owner_task.cancel()
 
-        self.run_async(scene())
+        self.run_async(scenario())
--- a/orchidrail/instance/tests/test_store_relays.py
+++ b/orchidrail/instance/tests/test_store_relays.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of a peer for calls to the store."""
+"""Tests of the choice of a peer for relayed calls to the store."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
         message: Message,
         timeout: Seconds,
     ) -> Ok[RelayAnswer]:
-        """Stand in for the transport: only the second peer can help."""
+        """Act as a transport through which only the second peer succeeds."""
         self.asked.append(address)
         return Ok(RelayAnswer(200 if address == 'p-2:1' else 0, b'', True))
 
@@ -46,7 +46,7 @@
                 )
             )
 
-    def test_a_peer_that_failed_is_passed_over(self) -> None:
+    def test_skips_a_peer_that_failed(self) -> None:
         self.record_heartbeat('p-1')
         self.assertFalse(self.run_async(self.relays.call(_CALL)).usable)
         self.record_heartbeat('p-2')
@@ -54,12 +54,12 @@
             self.assertTrue(self.run_async(self.relays.call(_CALL)).usable)
         self.assertEqual(1, self.asked.count('p-1:1'))
 
-    def test_peers_that_all_failed_are_asked_again(self) -> None:
+    def test_retries_when_all_peers_have_failed(self) -> None:
         self.record_heartbeat('p-1')
         self.run_async(self.relays.call(_CALL))
         self.run_async(self.relays.call(_CALL))
         self.assertEqual(['p-1:1', 'p-1:1'], self.asked)
 
-    def test_without_peers_nothing_can_have_got_through(self) -> None:
+    def test_without_peers_the_call_cannot_have_arrived(self) -> None:
         answer = self.run_async(self.relays.call(_CALL))
         self.assertFalse(answer.reached)
--- a/orchidrail/peers/__init__.py
+++ b/orchidrail/peers/__init__.py
@@ -1,1 +1,1 @@
-"""The other processes of the system: who is there and who owns the shard."""
+"""Membership and heartbeats among the instances, and who owns the shard."""
--- a/orchidrail/peers/members.py
+++ b/orchidrail/peers/members.py
@@ -1,4 +1,4 @@
-"""The list of processes in the store, by which they first find each other."""
+"""The member list in the store, by which instances discover each other."""
 
 from __future__ import annotations
 
@@ -14,43 +14,43 @@
 from orchidrail.work.model import MemberInfo
 
 _log = structlog.get_logger()
-#: Newcomers speak to all members, so the list is seldom read.
-_READ_EVERY: Seconds = 3.0
-_FAILED_PAUSE: Seconds = 0.25
+#: A new instance contacts all members itself, so the list is read rarely.
+_READ_INTERVAL: Seconds = 3.0
+_RETRY_PAUSE: Seconds = 0.25
 _decode = msgspec.msgpack.Decoder(MemberInfo).decode
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class MemberList:
-    """Enters this process and tells its table of the others.
+    """Registers this process and adds the other members to the peer table.
 
     Parameters
     ----------
     view : JournalView
-        Follows the list.
+        Follows the member list.
     table : PeerTable
     """
 
     def __init__(self, view: JournalView, table: PeerTable) -> None:
-        """Start not entered."""
+        """Start unregistered."""
         self._view = view
         self._table = table
 
     async def run(self) -> None:
-        """Enter, then read now and then."""
-        while not await self._enter():
-            await asyncio.sleep(_FAILED_PAUSE)
+        """Register this process, then read the list periodically."""
+        while not await self._register():
+            await asyncio.sleep(_RETRY_PAUSE)
         while True:
             read = await self._view.catch_up()
             for raw in self._view.value_by_key.values():
                 self._table.add_member(_decode(raw))
-            await asyncio.sleep(_READ_EVERY if read else _FAILED_PAUSE)
+            await asyncio.sleep(_READ_INTERVAL if read else _RETRY_PAUSE)
 
-    async def _enter(self) -> bool:
+    async def _register(self) -> bool:
         me = self._table.me
         record = KeyedRecord(me.name, _encode(me))
         outcome = await self._view.store.append(self._view.topic, [record])
         if not isinstance(outcome, Appended):
-            _log.info('not entered in the list yet', outcome=repr(outcome))
+            _log.info('registration failed; retrying', outcome=repr(outcome))
             return False
         return True
--- a/orchidrail/peers/pinger.py
+++ b/orchidrail/peers/pinger.py
@@ -1,4 +1,4 @@
-"""Regular words with the other processes, which steer and confer no right."""
+"""Heartbeats among the instances: hints for failover that grant no rights."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
 from orchidrail.wire.transport import Transport
 from orchidrail.work.model import MemberInfo
 
-#: How often the owner is asked whether it is at work.
-OWNER_EVERY: Seconds = 0.1
-#: Peers that each speak to the owner so often; where there are more, those
-#: that don't stand by speak to it more rarely. Reckoned, not measured: at
-#: 0.2 ms an answer, 97 machines together would take a fifth of a core.
-_FREQUENT_PEERS = 24
-#: Longest pause, as a multiple of the shortest one.
-_RAREST = 3
-#: How often some other peers are spoken to.
-_OTHERS_EVERY: Seconds = 0.25
-_OTHERS_AT_ONCE = 3
+#: Interval between two heartbeats to the owner.
+OWNER_PING_INTERVAL: Seconds = 0.1
+#: Number of peers up to which each one pings the owner at that interval; with
+#: more peers, those that are not standbys ping it less often. At 0.2 ms per
+#: reply, 97 instances would take a fifth of a core.
+_MAX_FREQUENT_PEERS = 24
+#: Longest interval between pings to the owner, as a multiple of the shortest.
+_MAX_INTERVAL_FACTOR = 3
+#: Interval between two rounds of pings to randomly chosen peers.
+_PEER_PING_INTERVAL: Seconds = 0.25
+_PEERS_PER_ROUND = 3
 _TIMEOUT: Seconds = 0.6
-#: The same for the owner, whose connection must not stay silent for long: it
-#: is asked each 0.1 s and answers in a few ms, in 0.1 s where it is busy.
+#: Timeout of a ping to the owner, shorter so that a dead connection is noticed
+#: early: the owner is pinged every 0.1 s and replies in a few ms, or in 0.1 s
+#: while it is busy.
 _OWNER_TIMEOUT: Seconds = 0.4
-#: A call that fails sooner was refused or reset: the machine is there, but
-#: not the process. Silence takes until the time-out.
-_REFUSED_WITHIN: Seconds = 0.3
+#: A call that fails sooner was refused or reset: the instance is up, but not
+#: the process. An unresponsive one fails at the timeout.
+_CONNECTION_REFUSED_WITHIN: Seconds = 0.3
 
 
 class Pinger:
-    """Speaks to the owner often and to some others in turn.
+    """Pings the owner often, and a few random peers less often.
 
     Parameters
     ----------
     table : PeerTable
     transport : Transport
     describe : callable
-        Returns what this process tells of itself.
+        Returns the state of this process that its pings carry.
     random : Random
     clock : callable
         Monotonic seconds.
@@ -57,51 +58,52 @@
         random: Random,
         clock: Callable[[], Seconds],
     ) -> None:
-        """Start silent."""
+        """Start without pings."""
         self._clock = clock
         self._table = table
         self._transport = transport
         self._describe = describe
         self._random = random
         self._tasks = BackgroundTasks('ping')
-        #: Whether this process is to notice at once that the owner is gone.
+        #: Whether this process is a standby, which must detect the loss of the
+        #: owner at once.
         self.is_standby: Callable[[], bool] = _always
-        #: Answers one after another that nobody owns the shard there.
+        #: Consecutive replies in which the presumed owner denies owning.
         self.owner_denials = 0
 
     async def ping_owner(self) -> None:
-        """Speak to the owner again and again."""
+        """Ping the owner until cancelled."""
         while True:
             claim = self._table.claim
             if claim.address and claim.name != self._table.me.name:
                 self._tasks.spawn(self._ping_owner_once())
-            pause = self._pause()
-            self._table.owner_ping_delay = pause - OWNER_EVERY
+            pause = self._owner_ping_interval()
+            self._table.owner_ping_delay = pause - OWNER_PING_INTERVAL
             await asyncio.sleep(pause)
 
-    def _pause(self) -> Seconds:
-        """Return how long to wait before the owner is spoken to again."""
-        crowd = len(self._table.peers()) / _FREQUENT_PEERS
-        if crowd <= 1 or self.is_standby():
-            return OWNER_EVERY
-        return OWNER_EVERY * min(crowd, _RAREST)
+    def _owner_ping_interval(self) -> Seconds:
+        """Return the pause before the next ping to the owner, seconds."""
+        load_factor = len(self._table.peers()) / _MAX_FREQUENT_PEERS
+        if load_factor <= 1 or self.is_standby():
+            return OWNER_PING_INTERVAL
+        return OWNER_PING_INTERVAL * min(load_factor, _MAX_INTERVAL_FACTOR)
 
     async def ping_others(self) -> None:
-        """Speak to some other peers again and again."""
+        """Ping random peers until cancelled."""
         while True:
             peers = self._table.peers()
-            count = min(len(peers), _OTHERS_AT_ONCE)
+            count = min(len(peers), _PEERS_PER_ROUND)
             for member in self._random.sample(peers, count):
                 self._tasks.spawn(self.ping(member))
-            await asyncio.sleep(_OTHERS_EVERY)
+            await asyncio.sleep(_PEER_PING_INTERVAL)
 
     def ping_all(self) -> None:
-        """Speak to every peer now."""
+        """Ping every peer now."""
         for member in self._table.peers():
             self._tasks.spawn(self.ping(member))
 
     async def ping(self, member: MemberInfo) -> None:
-        """Speak to one peer."""
+        """Ping one peer and record its reply."""
         outcome = await self._transport.call(
             member.address,
             self._describe(),
@@ -111,12 +113,12 @@
             self._table.record_heartbeat(outcome.ok_value)
 
     def close(self) -> None:
-        """Give up all calls in progress."""
+        """Cancel all pings in flight."""
         self._tasks.close()
 
     async def _ping_owner_once(self) -> None:
         claim = self._table.claim
-        began = self._clock()
+        started_at = self._clock()
         outcome = await self._transport.call(
             claim.address,
             self._describe(),
@@ -128,7 +130,7 @@
             owning = outcome.ok_value.owning
             self.owner_denials = 0 if owning else self.owner_denials + 1
             self._table.record_heartbeat(outcome.ok_value)
-        elif self._clock() - began < _REFUSED_WITHIN:
+        elif self._clock() - started_at < _CONNECTION_REFUSED_WITHIN:
             self.owner_denials += 1
 
 
--- a/orchidrail/peers/table.py
+++ b/orchidrail/peers/table.py
@@ -1,4 +1,4 @@
-"""What one process knows of the others."""
+"""Peers of one process: liveness, the shard owner and store reachability."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 from orchidrail.work.model import MemberInfo
 
 _log = structlog.get_logger()
-#: A peer counts as heard from for this long after its last word.
-HEARD_FOR: Seconds = 1.2
-#: Silence of all other zones after which this one counts as cut off. Several
-#: peers speak to this process within each 0.1 s.
-_CUT_AFTER: Seconds = 0.5
-#: A process that has just started has not heard its peers yet.
-_MEETS_WITHIN: Seconds = 1.0
-#: A peer that stays silent for this long is forgotten.
+#: Time after its last heartbeat for which a peer counts as live.
+LIVE_FOR: Seconds = 1.2
+#: Time without a heartbeat from any other zone after which this zone counts as
+#: partitioned. Several peers send one to this process every 0.1 s.
+_PARTITIONED_AFTER: Seconds = 0.5
+#: Time after the start in which the first heartbeats of peers arrive.
+_STARTUP_WINDOW: Seconds = 1.0
+#: Time without a heartbeat after which a peer is forgotten.
 _FORGET_AFTER: Seconds = 25
 
 
-def _nobody(version: int) -> None:
-    """Have nobody hear of configurations."""
+def _ignore_version(version: int) -> None:
+    """Ignore the configuration version of a peer."""
 
 
 class KnownPeer(msgspec.Struct):
-    """A peer and when it was last heard from."""
+    """A peer and the time of its last heartbeat."""
 
     member: MemberInfo
     last_heard_at: Seconds
     first_seen_at: Seconds
-    #: Whether its own calls to the store were answered when it spoke last.
+    #: Whether the peer's own store calls succeeded at its last heartbeat.
     store_answers: bool = False
 
 
 class OwnerClaim(msgspec.Struct, frozen=True):
-    """Who owns the shard, by the highest epoch heard of."""
+    """The owner of the shard with the highest epoch seen."""
 
     epoch: Epoch = Epoch(0)
     name: InstanceId = InstanceId('')
@@ -46,7 +46,7 @@
 
 
 class PeerTable:
-    """Peers by name and the newest claim to the shard.
+    """Peers by name and the newest claim to own the shard.
 
     Parameters
     ----------
@@ -56,31 +56,31 @@
     """
 
     def __init__(self, me: MemberInfo, clock: Callable[[], Seconds]) -> None:
-        """Know only this process."""
+        """Start without peers."""
         self.me = me
         self.claim = OwnerClaim()
-        #: When the owner last said that it is at work.
-        self.owner_heard_at: Seconds = clock()
+        #: Time of the last heartbeat in which the owner confirmed its role.
+        self.owner_heartbeat_at: Seconds = clock()
         self.waiting_by_queue: dict[str, int] = {}
-        #: Beyond the shortest pause, how much rarer the owner is spoken to.
+        #: Pause between pings to the owner beyond the shortest one.
         self.owner_ping_delay: Seconds = 0
-        #: Hears which version of the configuration a peer has.
-        self.on_config_version: Callable[[int], object] = _nobody
+        #: Called with the configuration version of each heartbeat.
+        self.on_config_version: Callable[[int], object] = _ignore_version
         self._clock = clock
         self._started_at = clock()
         self._peer_by_name: dict[InstanceId, KnownPeer] = {}
 
     def add_member(self, member: MemberInfo) -> None:
-        """Take a peer from the store's list, not heard from yet."""
+        """Add a peer from the member list that has sent no heartbeat yet."""
         if member.name == self.me.name:
             return
         known = self._peer_by_name.get(member.name)
         if known is None or known.member.incarnation != member.incarnation:
             now = self._clock()
-            self._peer_by_name[member.name] = KnownPeer(member, -HEARD_FOR, now)
+            self._peer_by_name[member.name] = KnownPeer(member, -LIVE_FOR, now)
 
     def record_heartbeat(self, state: PeerState) -> None:
-        """Take what a peer tells of itself and of the owner."""
+        """Record a peer's heartbeat and the owner that it names."""
         if state.name == self.me.name:
             return
         now = self._clock()
@@ -102,13 +102,13 @@
             OwnerClaim(state.epoch, state.owner, state.owner_address)
         )
         if state.owning and state.name == self.claim.name:
-            self.owner_heard_at = now
+            self.owner_heartbeat_at = now
             self.waiting_by_queue = dict(
                 zip(state.queues, state.waiting, strict=True)
             )
 
     def update_claim(self, claim: OwnerClaim) -> None:
-        """Take a claim to the shard if it is newer."""
+        """Replace the known claim to the shard by a newer one."""
         if claim.epoch > self.claim.epoch:
             _log.info(
                 'owner changed',
@@ -117,7 +117,7 @@
                 before=self.claim.name,
             )
             self.claim = claim
-            self.owner_heard_at = self._clock()
+            self.owner_heartbeat_at = self._clock()
 
     def peers(self) -> list[MemberInfo]:
         """Return all peers that are not forgotten."""
@@ -129,8 +129,8 @@
                 _log.info('peer forgotten', peer=name)
         return [known.member for known in self._peer_by_name.values()]
 
-    def live_peers(self, within: Seconds = HEARD_FOR) -> list[MemberInfo]:
-        """Return the peers heard from lately."""
+    def live_peers(self, within: Seconds = LIVE_FOR) -> list[MemberInfo]:
+        """Return the peers with a recent heartbeat."""
         now = self._clock()
         return [
             known.member
@@ -139,40 +139,42 @@
         ]
 
     def live_peers_with_store(self) -> list[MemberInfo]:
-        """Return the peers heard from lately that reach the store."""
+        """Return the peers with a recent heartbeat that reach the store."""
         now = self._clock()
         return [
             known.member
             for known in self._peer_by_name.values()
-            if known.store_answers and now - known.last_heard_at < HEARD_FOR
+            if known.store_answers and now - known.last_heard_at < LIVE_FOR
         ]
 
     def store_unreachable(self) -> bool:
-        """Whether the store answers nobody while this process owns.
+        """Whether no instance reaches the store while this process owns.
 
-        Peers of all zones must be heard, and none may know of a newer owner.
+        Requires a live peer in every zone and no claim of a newer owner.
         """
         zones = {known.member.zone for known in self._peer_by_name.values()}
-        heard = {member.zone for member in self.live_peers()}
-        if not heard or zones - {self.me.zone} - heard:
+        live_zones = {member.zone for member in self.live_peers()}
+        if not live_zones or zones - {self.me.zone} - live_zones:
             return False
         return (
             self.claim.name == self.me.name and not self.live_peers_with_store()
         )
 
     def owner_silence(self) -> Seconds:
-        """Return for how long the owner has not been heard.
+        """Return the time without a heartbeat of the owner, seconds.
 
-        The time for which it was not spoken to does not count as silence.
+        The prolonged pause between pings does not count.
         """
-        silent = self._clock() - self.owner_heard_at
-        return max(0, silent - self.owner_ping_delay)
+        silence = self._clock() - self.owner_heartbeat_at
+        return max(0, silence - self.owner_ping_delay)
 
     def is_partitioned(self) -> bool:
-        """Whether this zone seems to be cut off from all the others."""
-        if self._clock() - self._started_at < _MEETS_WITHIN:
+        """Whether this zone seems to be partitioned from all other zones."""
+        if self._clock() - self._started_at < _STARTUP_WINDOW:
             return False
         zones = {known.member.zone for known in self._peer_by_name.values()}
-        heard = {member.zone for member in self.live_peers(_CUT_AFTER)}
-        elsewhere = {self.me.zone}
-        return bool(zones - elsewhere) and not heard - elsewhere
+        live_zones = {
+            member.zone for member in self.live_peers(_PARTITIONED_AFTER)
+        }
+        own_zone = {self.me.zone}
+        return bool(zones - own_zone) and not live_zones - own_zone
--- a/orchidrail/peers/tests/__init__.py
+++ b/orchidrail/peers/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of membership and heartbeats."""
--- a/orchidrail/peers/tests/test_table.py
+++ b/orchidrail/peers/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Tests of what a process knows of the others."""
+"""Tests of the peer table."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 def make_member(name: str, zone: str = 'z-1') -> MemberInfo:
-    """Return a process of the system."""
+    """Return an instance as a member."""
     return MemberInfo(InstanceId(name), Address(f'{name}:1'), zone, 'life-1')
 
 
 def make_state(name: str, zone: str = 'z-1', epoch: int = 0) -> PeerState:
-    """Return what a process says of itself as the owner of `epoch`."""
+    """Return the heartbeat of an instance as the owner of `epoch`, if any."""
     member = make_member(name, zone)
     return PeerState(
         name=member.name,
@@ -39,13 +39,13 @@
         self.now = 100.0
         self.table = PeerTable(make_member('me'), lambda: self.now)
 
-    def test_the_highest_epoch_names_the_owner(self) -> None:
+    def test_the_owner_has_the_highest_epoch(self) -> None:
         self.table.record_heartbeat(make_state('b', epoch=2))
         self.table.record_heartbeat(make_state('a', epoch=1))
         self.assertEqual('b', self.table.claim.name)
         self.assertEqual({'q': 3}, self.table.waiting_by_queue)
 
-    def test_only_the_owner_itself_is_heard_as_owner(self) -> None:
+    def test_only_heartbeats_of_the_owner_reset_its_silence(self) -> None:
         self.table.update_claim(OwnerClaim(Epoch(1), InstanceId('a')))
         self.now += 1
         self.table.record_heartbeat(make_state('b'))
@@ -53,25 +53,25 @@
         self.table.record_heartbeat(make_state('a', epoch=1))
         self.assertEqual(0, self.table.owner_silence())
 
-    def test_the_store_is_away_only_if_all_zones_say_so(self) -> None:
+    def test_store_is_unreachable_only_if_no_zone_reaches_it(self) -> None:
         me = self.table.me.name
         self.table.update_claim(OwnerClaim(Epoch(1), me))
         self.assertFalse(self.table.store_unreachable())
-        silent = make_state('a', 'z-2')
-        self.table.record_heartbeat(silent)
+        without_store = make_state('a', 'z-2')
+        self.table.record_heartbeat(without_store)
         self.table.record_heartbeat(make_state('b', 'z-3'))
         self.assertTrue(self.table.store_unreachable())
         self.table.record_heartbeat(
-            msgspec.structs.replace(silent, store_answers=True)
+            msgspec.structs.replace(without_store, store_answers=True)
         )
         self.assertFalse(self.table.store_unreachable())
-        self.table.record_heartbeat(silent)
+        self.table.record_heartbeat(without_store)
         self.assertTrue(self.table.store_unreachable())
         self.now += 2
-        self.table.record_heartbeat(silent)
+        self.table.record_heartbeat(without_store)
         self.assertFalse(self.table.store_unreachable())
 
-    def test_an_owner_that_was_replaced_does_not_hold_the_store_for_away(
+    def test_store_is_not_unreachable_after_a_newer_claim(
         self,
     ) -> None:
         self.table.update_claim(OwnerClaim(Epoch(1), self.table.me.name))
@@ -80,14 +80,14 @@
         self.table.record_heartbeat(make_state('b', 'z-2', epoch=2))
         self.assertFalse(self.table.store_unreachable())
 
-    def test_a_process_that_has_just_started_is_not_cut_off(self) -> None:
+    def test_a_process_that_has_just_started_is_not_partitioned(self) -> None:
         other = MemberInfo(InstanceId('a'), Address('a:1'), 'z-2', 'a-1')
         self.table.add_member(other)
         self.assertFalse(self.table.is_partitioned())
         self.now += 2
         self.assertTrue(self.table.is_partitioned())
 
-    def test_a_zone_is_cut_off_when_no_other_is_heard(self) -> None:
+    def test_a_zone_without_heartbeats_of_others_is_partitioned(self) -> None:
         self.assertFalse(self.table.is_partitioned())
         self.table.record_heartbeat(make_state('a', 'z-2'))
         self.assertFalse(self.table.is_partitioned())
@@ -95,7 +95,7 @@
         self.table.record_heartbeat(make_state('b', 'z-1'))
         self.assertTrue(self.table.is_partitioned())
 
-    def test_a_silent_peer_is_forgotten_in_the_end(self) -> None:
+    def test_a_peer_without_heartbeats_is_forgotten(self) -> None:
         self.table.record_heartbeat(make_state('a'))
         self.now += 2
         self.assertEqual([], self.table.live_peers())
