--- a/orchidrail/properties/__init__.py
+++ b/orchidrail/properties/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the modules beside this folder."""
+"""Property tests that span several modules."""
--- a/orchidrail/properties/test_crashes.py
+++ b/orchidrail/properties/test_crashes.py
@@ -1,8 +1,8 @@
-"""Property: no task crashes workers without end, whatever else goes on.
+"""Property: a task that crashes its workers is failed permanently.
 
-The real owner is played in virtual time with drawn queues, tasks that end each
-worker within a second of their start, crashes by chance, silences of workers
-and rooms that shrink.
+The real owner runs in virtual time with drawn queues, tasks that crash each
+worker within a second of their start, random crashes, unresponsive workers and
+capacity that shrinks.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from standins.model import CellLoad, CellModel, QueueLoad
 from standins.model.load import Crashes, Draw, Outage, Shrinkage
 
-_DAYS = 10
-_LASTS = 12
-#: Crashes after which a task is given up at the latest.
+_MAX_EXAMPLES = 10
+_DURATION = 12
+#: Number of crashes after which a task has failed permanently at the latest.
 _MOST_CRASHES = 4
 
 
@@ -52,7 +52,7 @@
         [draw(_queues('urgent', 0)), draw(_queues('other', 1))],
         workers=draw(st.sampled_from([6, 24])),
         lanes=draw(st.sampled_from([1, 6])),
-        lasts=_LASTS,
+        lasts=_DURATION,
         restart=draw(st.sampled_from([0.5, 3.2, 9.0])),
         crashes=[chance] if share else [],
         outages=[Outage(5, draw(st.sampled_from([1.0, 7.0])), 0.2)],
@@ -62,7 +62,7 @@
 
 class CrashProperty(TestCase):
     @settings(
-        max_examples=_DAYS,
+        max_examples=_MAX_EXAMPLES,
         deadline=None,
         derandomize=True,
         suppress_health_check=list(HealthCheck),
--- a/orchidrail/properties/test_decoders.py
+++ b/orchidrail/properties/test_decoders.py
@@ -1,7 +1,7 @@
-"""Property: whatever comes from outside is decoded, or refused with a reason.
+"""Property: external input is decoded, or rejected with a reason.
 
-Entries of workers and answers may come from anybody: any bytes, any JSON, and
-good documents with one field changed.
+Worker entries and replies come from untrusted sources: arbitrary bytes,
+arbitrary JSON, and valid documents with one field changed.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 @st.composite
 def _changed(draw: st.DrawFn, good: dict[str, Any]) -> bytes:
-    """Draw a good document of which one field is of any kind, or missing."""
+    """Draw a valid document with one field replaced by any JSON or missing."""
     field = draw(st.sampled_from(sorted(good)))
     document = {**good, field: draw(_json)}
     if draw(st.booleans()):
@@ -80,7 +80,7 @@
 
 
 class _Caller(HttpCaller):
-    """Answers each call in the same way."""
+    """Returns the same reply to each call."""
 
     def __init__(self, answer: RawAnswer) -> None:
         self._answer = answer
@@ -94,7 +94,7 @@
 class DecoderProperty(TestCase):
     @settings(max_examples=_EXAMPLES, derandomize=True, deadline=None)
     @given(name=st.text(), raw=_any_bytes(_ENTRY))
-    def test_an_entry_names_a_whole_worker_or_none(
+    def test_an_entry_is_complete_or_rejected(
         self,
         name: str,
         raw: bytes,
@@ -116,12 +116,14 @@
         raw=_any_bytes(_ANSWER),
         status=st.sampled_from([0, 200, 400, 409, 421, 429, 500, 503]),
     )
-    def test_an_answer_is_typed(self, raw: bytes, status: int) -> None:
+    def test_a_reply_is_decoded_to_a_known_type(
+        self, raw: bytes, status: int
+    ) -> None:
         caller = _Caller(RawAnswer(status, raw))
         workers = PlatformWorkers(caller)
         advice = PlatformAdvice(caller, lambda: Address('a:1'))
 
-        async def scene() -> None:
+        async def scenario() -> None:
             entry = make_entry()
             order = StartOrder(_KEY, 'text', 5, Epoch(1))
             started = await workers.start(entry, order, 1)
@@ -133,7 +135,7 @@
             self.assertIsInstance(listed, (OrderAnswer, Listing))
             self.assertIsInstance(advised, (TicketsByName, type(None)))
 
-        asyncio.run(scene())
+        asyncio.run(scenario())
 
     @settings(max_examples=_EXAMPLES, derandomize=True, deadline=None)
     @given(
@@ -141,7 +143,7 @@
             st.binary(), _json.map(lambda one: json.dumps(one).encode())
         )
     )
-    def test_other_documents_are_typed(self, raw: bytes) -> None:
+    def test_other_documents_are_decoded_or_rejected(self, raw: bytes) -> None:
         for decode in (configuration.decode_config, documents.decode_job):
             outcome = decode(raw)
             self.assertTrue(isinstance(outcome, Ok) or outcome.err_value)
--- a/orchidrail/properties/test_journal_writer.py
+++ b/orchidrail/properties/test_journal_writer.py
@@ -1,4 +1,4 @@
-"""Properties of a journal's owner under any order of faults and calls."""
+"""Properties of the journal writer under any order of faults and calls."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 _TOPIC = Topic('journal')
 _FAST = 0.0005
-#: Some pauses end within a try, some between two.
+#: Some pauses end during an append attempt, some between two.
 _PAUSES = (0, 0.0003, 0.002, 0.004)
 _SETTLE = 0.05
 _KEYS = ('a', 'b', 'c', 'd')
@@ -39,8 +39,8 @@
     return MemberInfo(InstanceId(name), Address(name), 'zone', f'{name}-1')
 
 
-class _Scene:
-    """One owner, what was put and what was taken back."""
+class _Scenario:
+    """One owner with the values that were put and withdrawn."""
 
     def __init__(self) -> None:
         self.store = MemoryStore()
@@ -48,8 +48,8 @@
         self.withdrawn: set[str] = set()
         self._number = 0
 
-    async def play(self, actions: list[_Action]) -> None:
-        """Do one thing after another, then let everything settle."""
+    async def perform(self, actions: list[_Action]) -> None:
+        """Perform the actions in order, then wait for pending appends."""
         view = JournalView(self.store, _TOPIC)
         owner = await take_over(
             view,
@@ -77,7 +77,7 @@
         elif kind == 'rival':
             await self._replace()
         elif kind == 'put':
-            # Each value has a key of its own: it is put or withdrawn once.
+            # Each value has its own key: it is put and withdrawn at most once.
             self._number += 1
             key = f'{argument}{self._number}'
             self.commit_by_key[key] = owner.put(key, b'1')
@@ -92,7 +92,7 @@
                 return
 
     async def _replace(self) -> None:
-        """Have another take over, if the store lets it at once."""
+        """Let another process take over, unless the store has a fault."""
         if self.store.fault is not None:
             return
         view = JournalView(self.store, _TOPIC)
@@ -103,21 +103,23 @@
 class WriterProperties(TestCase):
     @settings(deadline=None, max_examples=100)
     @given(actions=st.lists(_actions, max_size=25))
-    def test_what_is_said_of_a_value_is_true(
+    def test_reported_outcomes_match_the_journal(
         self,
         actions: list[_Action],
     ) -> None:
-        """Withdrawn is never there, committed always, denied never."""
-        scene = _Scene()
+        """Committed values are present, withdrawn and denied ones absent."""
+        scenario = _Scenario()
         fast = {'_RETRY_PAUSE': _FAST, '_APPEND_INTERVAL': _FAST}
         with mock.patch.multiple(writer_module, **fast):
-            asyncio.run(scene.play(actions))
-        there = {one.key for one in scene.store.records_by_topic[_TOPIC]}
-        self.assertEqual(set(), scene.withdrawn & there)
-        for key, commit in scene.commit_by_key.items():
-            if key in scene.withdrawn:
+            asyncio.run(scenario.perform(actions))
+        stored_keys = {
+            one.key for one in scenario.store.records_by_topic[_TOPIC]
+        }
+        self.assertEqual(set(), scenario.withdrawn & stored_keys)
+        for key, commit in scenario.commit_by_key.items():
+            if key in scenario.withdrawn:
                 continue
             if commit.committed:
-                self.assertIn(key, there)
+                self.assertIn(key, stored_keys)
             elif not commit.may_be_written:
-                self.assertNotIn(key, there)
+                self.assertNotIn(key, stored_keys)
--- a/orchidrail/properties/test_ledger.py
+++ b/orchidrail/properties/test_ledger.py
@@ -34,7 +34,7 @@
 
 
 class EngineMachine(RuleBasedStateMachine):
-    """Offers, ends, cancels, losses: room is never given twice."""
+    """Offers, ends, cancellations, lost workers: never overcommits capacity."""
 
     running = Values('running')
     waiting = Values('waiting')
@@ -60,7 +60,7 @@
         tenant=st.sampled_from(sorted(_TENANTS)),
         cores=st.integers(0, 5),
         gang=st.integers(1, 3),
-        patience=st.sampled_from((0.5, 1e9)),
+        timeout=st.sampled_from((0.5, 1e9)),
     )
     def offer(
         self,
@@ -68,7 +68,7 @@
         tenant: TenantId,
         cores: int,
         gang: int,
-        patience: float,
+        timeout: float,
     ) -> WorkItem:
         self.number += 1
         request = class_name == 'request'
@@ -78,7 +78,7 @@
             class_name,
             Resources(cores, 1, 0, slots=int(request)),
             queued_at=self.now,
-            deadline=self.now + patience,
+            deadline=self.now + timeout,
             gang=gang if class_name == 'gang' else 1,
         )
         decision = self.engine.offer(item, self.now)
@@ -98,10 +98,10 @@
     @rule(seconds=st.floats(0.01, 5))
     def pump(self, seconds: float) -> None:
         self.now += seconds
-        late = {item.key for item in self.engine.expired(self.now)}
+        expired_keys = {item.key for item in self.engine.expired(self.now)}
         self.engine.earmark_for(self.now)
         for placed in self.engine.pump(self.now):
-            assert placed.item.key not in late
+            assert placed.item.key not in expired_keys
             self.note(placed)
 
     @rule(number=st.integers(0, 3))
@@ -124,7 +124,7 @@
             self.placed[task] = (place.worker, placed.item.size)
 
     @invariant()
-    def room_is_what_runs(self) -> None:
+    def free_capacity_matches_placed_tasks(self) -> None:
         used: dict[WorkerId, Resources] = {}
         for worker, size in getattr(self, 'placed', {}).values():
             used[worker] = used.get(worker, NOTHING) + size
--- a/orchidrail/properties/test_liveness.py
+++ b/orchidrail/properties/test_liveness.py
@@ -1,8 +1,8 @@
-"""Property: a task whose turn has come, with room that it may use, starts.
+"""Property: a ready task with free capacity that it may use starts.
 
-The real owner is played in virtual time with drawn queues, lanes and outages of
-workers: steps of any width, gangs, questions of any length, few lanes, rounds
-that only the clock makes ready.
+The real owner runs in virtual time with drawn queues, lanes and worker outages:
+steps of any width, gangs, advice requests of any size, few lanes, rounds that
+become ready at a set time.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 from standins.model import CellLoad, CellModel, QueueLoad
 from standins.model.load import Draw, Outage
 
-_DAYS = 12
-_LASTS = 8
+_MAX_EXAMPLES = 12
+_DURATION = 8
 
 
 @st.composite
@@ -54,15 +54,15 @@
         [draw(_queues('urgent', 0)), draw(_queues('other', 1))],
         workers=draw(st.sampled_from([6, 12])),
         lanes=draw(st.sampled_from([1, 4, 9])),
-        lasts=_LASTS,
+        lasts=_DURATION,
         slow_share=0.3,
         outages=sorted(outages, key=lambda outage: outage.at),
     )
 
 
-class LivenessTest(TestCase):
+class LivenessProperty(TestCase):
     @settings(
-        max_examples=_DAYS,
+        max_examples=_MAX_EXAMPLES,
         deadline=None,
         derandomize=True,
         suppress_health_check=[HealthCheck.too_slow],
--- a/orchidrail/properties/test_lasting.py
+++ b/orchidrail/properties/test_long_running.py
@@ -1,8 +1,9 @@
-"""Property: a task that lasts and has failed is soon at work again.
+"""Property: a long-running task that has failed soon runs again.
 
-The real owner is played in virtual time with drawn days: tasks that last and
-fail, few permitted workers, one task of a step on each, tasks that fill and
-tasks that serve, workers that fail all they start, a service nearly full.
+The real owner runs in virtual time with drawn loads: long-running tasks that
+fail, few permitted workers, one task of a step per worker, best-effort and
+latency-sensitive tasks, workers that fail all their starts, a service with
+little free capacity.
 """
 
 from __future__ import annotations
@@ -14,12 +15,12 @@
 from standins.model import CellLoad, CellModel, QueueLoad
 from standins.model.load import Breakage, Draw
 
-_DAYS = 12
-_LASTS = 24
+_MAX_EXAMPLES = 12
+_DURATION = 24
 
 
 @st.composite
-def _lasting(draw: st.DrawFn, name: str) -> QueueLoad:
+def _long_running(draw: st.DrawFn, name: str) -> QueueLoad:
     base = draw(st.sampled_from([0, 0.02, 0.56]))
     return QueueLoad(
         name=name,
@@ -43,7 +44,7 @@
 
 
 @st.composite
-def _ending(draw: st.DrawFn) -> QueueLoad:
+def _finite(draw: st.DrawFn) -> QueueLoad:
     base = draw(st.sampled_from([0, 0, 0.1]))
     return QueueLoad(
         name='ending',
@@ -68,9 +69,9 @@
 
 @st.composite
 def _loads(draw: st.DrawFn) -> CellLoad:
-    queues = [draw(_lasting('listeners')), draw(_ending())]
+    queues = [draw(_long_running('listeners')), draw(_finite())]
     if draw(st.booleans()):
-        queues.append(draw(_lasting('services')))
+        queues.append(draw(_long_running('services')))
     breakages = [
         Breakage(at, lasts=2.5, share=0.33)
         for at in draw(st.sampled_from([(), (2,), (2, 7)]))
@@ -79,14 +80,14 @@
         queues,
         workers=draw(st.sampled_from([8, 16, 30])),
         lanes=draw(st.sampled_from([1, 3, 9])),
-        lasts=_LASTS,
+        lasts=_DURATION,
         breakages=breakages,
     )
 
 
-class LastingTest(TestCase):
+class LongRunningProperty(TestCase):
     @settings(
-        max_examples=_DAYS,
+        max_examples=_MAX_EXAMPLES,
         deadline=None,
         derandomize=True,
         suppress_health_check=[HealthCheck.too_slow],
--- a/orchidrail/properties/test_starvation.py
+++ b/orchidrail/properties/test_starvation.py
@@ -1,10 +1,10 @@
-"""Property: no task is left waiting while half of the room is free.
+"""Property: no task starves while half of the capacity is free.
 
-The real owner is played in virtual time with drawn days of steps that need
-accelerators, some a whole worker's, few of which are permitted, beside gangs,
-jobs that fail whenever they run, small tasks on the same workers, workers that
-fail all that they start and workers that fall silent. It is judged at the
-workers, by each kind of room.
+The real owner runs in virtual time with drawn loads: steps that need
+accelerators, some a whole worker's, with few permitted workers, along with
+gangs, jobs that fail on every run, small tasks on the same workers, workers
+that fail all their starts and unresponsive workers. Free capacity is measured
+at the workers, separately for each resource.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 from standins.model import CellLoad, CellModel, QueueLoad
 from standins.model.load import Breakage, Draw, Outage
 
-_DAYS = 12
-_LASTS = 20
+_MAX_EXAMPLES = 12
+_DURATION = 20
 _ACCELERATORS = 8
 
 
@@ -83,16 +83,16 @@
         accelerators=_ACCELERATORS,
         rack=3,
         lanes=draw(st.sampled_from([4, 9])),
-        lasts=_LASTS,
+        lasts=_DURATION,
         slow_share=0.3,
         breakages=breakages,
         outages=outages,
     )
 
 
-class StarvationTest(TestCase):
+class StarvationProperty(TestCase):
     @settings(
-        max_examples=_DAYS,
+        max_examples=_MAX_EXAMPLES,
         deadline=None,
         derandomize=True,
         suppress_health_check=[HealthCheck.too_slow],
--- a/orchidrail/properties/test_tenant_ledger.py
+++ b/orchidrail/properties/test_tenant_ledger.py
@@ -1,9 +1,9 @@
-"""What a tenant has running never passes its limit, whatever comes when.
+"""Property: the running work of a tenant never exceeds its limit.
 
-Drawn are placements, answers and silences, late ends, stops, workers that crash
-or come back, jobs that are cancelled, limits that rise and fall, and changes of
-the owner. What may run is counted beside the books, from what was placed and
-what has surely ended.
+The test draws placements, replies and lost replies, late ends, stops, workers
+that crash or return, cancelled jobs, changed limits and changes of the owner.
+Runs that may still exist are counted independently of the tracked workers, from
+the placements and the runs that have certainly ended.
 """
 
 from __future__ import annotations
@@ -38,8 +38,8 @@
 _limits = st.integers(0, 12).map(lambda cores: Size(cores * 1000, 0))
 
 
-class _Runs:
-    """What may run, counted by itself."""
+class _ExpectedRuns:
+    """Runs that may still exist, counted independently."""
 
     def __init__(self) -> None:
         self.where_by_key: dict[RunKey, tuple[Task, int]] = {}
@@ -53,7 +53,7 @@
 
 
 class TenantLedgerMachine(RuleBasedStateMachine):
-    """One owner after another, with what may run on three workers."""
+    """Successive owners and the runs that may exist on three workers."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -61,12 +61,12 @@
             TenantId(name): Tenant(TenantId(name), 1, Size(8000, 0))
             for name in _NAMES
         }
-        self.runs = _Runs()
+        self.runs = _ExpectedRuns()
         self.jobs: list[Job] = []
-        self.begin_owner()
+        self.start_owner()
 
-    def begin_owner(self) -> None:
-        """Take over with nothing but what the journal tells."""
+    def start_owner(self) -> None:
+        """Take over with nothing but the content of the journal."""
         self.ledger = TenantLedger(self.tenant_by_name.get)
         self.unresolved = UnresolvedRuns(self.ledger)
         self.tracked: list[TrackedWorker] = []
@@ -79,8 +79,8 @@
         return self.tracked[number].worker
 
     @initialize()
-    def meet(self) -> None:
-        self.met = set(range(_WORKERS))
+    def contact_workers(self) -> None:
+        self.contacted = set(range(_WORKERS))
 
     @rule(
         name=st.sampled_from(_NAMES),
@@ -99,8 +99,8 @@
         best_effort: bool,
         number: int,
     ) -> None:
-        """Place what the ledger allows of a new job's step."""
-        if number not in self.met:
+        """Place the tasks of a new job's step that are within the limit."""
+        if number not in self.contacted:
             return
         tenant = self.tenant_by_name[TenantId(name)]
         step = StepSpec(
@@ -132,11 +132,11 @@
     @precondition(lambda machine: machine.runs.where_by_key)
     @rule(data=st.data())
     def end(self, data: st.DataObject) -> None:
-        """Hear of an end, of whichever run."""
+        """Receive the end of any run."""
         keys = sorted(self.runs.where_by_key)
         key = data.draw(st.sampled_from(keys))
         task, number = self.runs.where_by_key[key]
-        if number not in self.met:
+        if number not in self.contacted:
             return
         self.tracked[number].release(key)
         self.runs.where_by_key.pop(key)
@@ -144,14 +144,14 @@
 
     @rule(number=st.integers(0, _WORKERS - 1))
     def crash(self, number: int) -> None:
-        """Give up a worker, heard of or not."""
+        """Abandon a worker, contacted or not."""
         for key, (task, where) in list(self.runs.where_by_key.items()):
             if where == number:
                 self.tracked[number].release(key)
                 self.runs.where_by_key.pop(key)
                 task.phase = TaskPhase.WAITING
         self.unresolved.pop_runs(self.worker(number))
-        self.met.add(number)
+        self.contacted.add(number)
 
     @rule(name=st.sampled_from(_NAMES), maximum=_limits)
     def change_limit(self, name: str, maximum: Size) -> None:
@@ -160,12 +160,12 @@
 
     @rule(left=st.booleans())
     def replace_owner(self, left: bool) -> None:
-        """Begin anew; what was placed is known from the journal.
+        """Replace the owner; the journal lists what was placed.
 
-        Of jobs that have ended meanwhile it tells their runs that may be left.
+        For jobs that have ended, it lists their lingering runs.
         """
-        self.begin_owner()
-        self.met.clear()
+        self.start_owner()
+        self.contacted.clear()
         for key, (task, number) in self.runs.where_by_key.items():
             if left:
                 holding = quota_usage_of(task)
@@ -174,9 +174,9 @@
                 self.unresolved.add(self.worker(number), [(task, key.run)])
 
     @rule(number=st.integers(0, _WORKERS - 1))
-    def hear_worker(self, number: int) -> None:
-        """Adopt what a worker lists, then settle what was not known of it."""
-        if number in self.met:
+    def adopt_listed_runs(self, number: int) -> None:
+        """Adopt the runs that a worker lists, then resolve the unknown ones."""
+        if number in self.contacted:
             return
         worker = self.worker(number)
         tracked = self.tracked[number]
@@ -193,7 +193,7 @@
             )
             tracked.allocate(run, task.step.key)
         self.unresolved.pop_runs(worker)
-        self.met.add(number)
+        self.contacted.add(number)
 
     @invariant()
     def counts_what_may_run(self) -> None:
--- a/orchidrail/properties/test_returning.py
+++ b/orchidrail/properties/test_worker_restarts.py
@@ -1,9 +1,9 @@
-"""Property: a worker's next life, under the same name, doubles nothing.
+"""Property: no task runs twice when a worker restarts under the same name.
 
-The real owner is played in virtual time with drawn queues; workers crash at
-drawn moments, also before they are met again, and start again under the names
-that they had, some at once; others fall silent meanwhile, and orders without an
-answer are carried out late.
+The real owner runs in virtual time with drawn queues. Workers crash at drawn
+times, also before they are contacted again, and restart under their previous
+names, some immediately. Others become unresponsive meanwhile, and orders whose
+reply was lost are carried out late.
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from standins.model import CellLoad, CellModel, QueueLoad
 from standins.model.load import Crashes, Draw, Outage, Shrinkage
 
-_DAYS = 12
-_LASTS = 12
+_MAX_EXAMPLES = 12
+_DURATION = 12
 _DELAYS = st.sampled_from([0, 0.002, 0.05, 0.3, 0.6, 2.2, 5.2, 9.0])
 
 
@@ -56,7 +56,7 @@
         [draw(_queues('urgent', 0)), draw(_queues('other', 1))],
         workers=draw(st.sampled_from([6, 24])),
         lanes=draw(st.sampled_from([1, 6])),
-        lasts=_LASTS,
+        lasts=_DURATION,
         restart=draw(_DELAYS),
         keeps_names=draw(st.booleans()),
         append_takes=draw(st.sampled_from([0, 0.0065, 0.1])),
@@ -67,9 +67,9 @@
     )
 
 
-class ReturningProperty(TestCase):
+class RestartProperty(TestCase):
     @settings(
-        max_examples=_DAYS,
+        max_examples=_MAX_EXAMPLES,
         deadline=None,
         derandomize=True,
         suppress_health_check=list(HealthCheck),
