--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -82,7 +82,10 @@
 def best_effort_to_evict(
     tracked: TrackedWorker, now: Seconds
 ) -> list[PlacedRun]:
-    """Return the runs to stop where response times stay too long."""
+    """Return the runs to stop if response times stay above their target.
+
+    If there are any, best-effort tasks are barred from the worker for a while.
+    """
     runs = tracked.run_by_key.values()
     if not any(now - run.late_since >= _LATE_DURATION for run in runs):
         return []
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -338,10 +338,12 @@
     size = step.spec.charged.millicores
     if not size:
         return tasks
-    left = this_pass.available_to_others(step)
-    if len(tasks) * size <= left:
+    available_millicores = this_pass.available_to_others(step)
+    if len(tasks) * size <= available_millicores:
         return tasks
-    return [] if step.spec.gang else tasks[: max(0, left // size)]
+    return (
+        [] if step.spec.gang else tasks[: max(0, available_millicores // size)]
+    )
 
 
 def _wait_reason(step: StepState, this_pass: PlacementPass) -> WaitReason:
--- a/orchidrail/shard/quarantine.py
+++ b/orchidrail/shard/quarantine.py
@@ -7,7 +7,7 @@
 #: Consecutive jobs that must fail on a worker before it is quarantined: a
 #: faulty job fails on any worker.
 _MIN_FAILED_JOBS = 2
-#: Initial quarantine; it doubles until a run succeeds.
+#: Initial quarantine; it doubles, up to the maximum, until a run succeeds.
 _INITIAL_QUARANTINE: Seconds = 1.0
 #: Work makes no progress while all of its permitted workers are quarantined. It
 #: may do so for 3 s, which includes an advice request.
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -93,10 +93,10 @@
         step = make_step(StepSpec(1, Size(4000), lasting=True))
         task = step.tasks[0]
         task.run, task.waiting_since = RunNumber(1), 10
-        every = {tracked.worker for tracked in self.tracked}
+        all_workers = {tracked.worker for tracked in self.tracked}
         for now, expected in ((11, []), (13, ['c', 'b', 'a'])):
             workers = CandidateWorkers(self.tracked, now)
-            workers.reserve(every)
+            workers.reserve(all_workers)
             self.assertEqual(expected, _names(workers.with_free_capacity(step)))
 
     def test_only_permitted_workers_are_found_where_advice_is_needed(
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -26,8 +26,8 @@
             dispatcher.set_advice_lanes([InstanceId('lane')])
             placer = Placer(shard.state, shard.runs, dispatcher)
             step = advised(StepSpec(1, _TASK))
-            with shard.state.pending_advice.track(step) as question:
-                question.state_since -= _WAITED
+            with shard.state.pending_advice.track(step) as request:
+                request.state_since -= _WAITED
                 with capture_logs() as lines:
                     LoadReport(shard.state, placer, dispatcher).report()
             logged = lines[-1]
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -22,7 +22,7 @@
 _WAITED: Seconds = 3
 
 
-def _wait(shard: Shard, step: StepState) -> dict[str, Any]:
+def _report_wait(shard: Shard, step: StepState) -> dict[str, Any]:
     """Return the log line on a step that has waited for long."""
     now = time.monotonic()
     for task in step.startable():
@@ -42,10 +42,10 @@
             worker = shard.tracked.worker
             step = advised(StepSpec(1, _TASK), worker)
             step.permits.drop_ticket(worker)
-            logged = _wait(shard, step)
+            logged = _report_wait(shard, step)
             self.assertEqual({worker: 'ticket'}, logged['idle'])
             fill(shard.tracked, 62)
-            self.assertEqual({}, _wait(shard, step)['idle'])
+            self.assertEqual({}, _report_wait(shard, step)['idle'])
 
         self.run_scenario(scenario)
 
@@ -53,22 +53,22 @@
         async def scenario(shard: Shard) -> None:
             for gang, expected in ((True, 'gang'), (False, 'alone')):
                 step = shard.add(make_job(StepSpec(2, _TASK, gang=gang)))
-                self.assertEqual(expected, _wait(shard, step)['starts'])
+                self.assertEqual(expected, _report_wait(shard, step)['starts'])
 
         self.run_scenario(scenario)
 
     def test_a_pending_advice_request_is_logged_with_its_state(self) -> None:
         async def scenario(shard: Shard) -> None:
             step = advised(StepSpec(1, _TASK))
-            self.assertNotIn('question', _wait(shard, step))
-            with shard.state.pending_advice.track(step) as question:
-                logged = _wait(shard, step)
+            self.assertNotIn('question', _report_wait(shard, step))
+            with shard.state.pending_advice.track(step) as request:
+                logged = _report_wait(shard, step)
                 self.assertEqual('line', logged['question_state'])
                 for name in ('question', 'question_in_state'):
                     self.assertAlmostEqual(_WAITED, logged[name], delta=0.5)
-                question.since -= 10
-                with question.during_call():
-                    logged = _wait(shard, step)
+                request.since -= 10
+                with request.during_call():
+                    logged = _report_wait(shard, step)
                 self.assertEqual('call', logged['question_state'])
                 self.assertAlmostEqual(
                     10 + _WAITED, logged['question'], delta=0.5
@@ -81,7 +81,7 @@
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(1, _TASK)))
             shard.tracked.hold('other', shard.tracked.free)
-            logged = _wait(shard, step)
+            logged = _report_wait(shard, step)
             self.assertEqual(1, logged['held'])
             self.assertEqual({'held': 1}, logged['workers'])
 
@@ -92,12 +92,12 @@
     ) -> None:
         async def scenario(shard: Shard) -> None:
             step = shard.add(make_job(StepSpec(2, _TASK)))
-            self.assertNotIn('unheard', _wait(shard, step))
+            self.assertNotIn('unheard', _report_wait(shard, step))
             step.job.place(step.tasks[0], RunNumber(1), shard.tracked.worker)
-            logged = _wait(shard, step)
+            logged = _report_wait(shard, step)
             self.assertAlmostEqual(_WAITED, logged['unheard'], delta=0.5)
             shard.tracked.session.last_response_at = shard.state.clock()
-            self.assertNotIn('unheard', _wait(shard, step))
+            self.assertNotIn('unheard', _report_wait(shard, step))
 
         self.run_scenario(scenario)
 
@@ -108,7 +108,7 @@
             step = shard.add(make_job(StepSpec(2, _TASK)))
             step.job.place(step.tasks[0], RunNumber(1), WorkerId('unmet'))
             shard.state.started_at -= 10
-            logged = _wait(shard, step)
+            logged = _report_wait(shard, step)
             self.assertAlmostEqual(10 + _WAITED, logged['unheard'], delta=0.5)
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_placer.py
+++ b/orchidrail/shard/tests/test_placer.py
@@ -223,8 +223,8 @@
             spec = StepSpec(2, Size(20_000, 1), gang=True)
             shard.add(_make_job('a' * 16, spec, 1, advice=True))
             await asyncio.sleep(_SOON)
-            asked = [len(workers) for workers, _ in shard.requests]
-            self.assertEqual([12, 12], asked)
+            requested = [len(workers) for workers, _ in shard.requests]
+            self.assertEqual([12, 12], requested)
 
         self.run_scenario(scenario)
 
@@ -241,8 +241,8 @@
             for name in ('a', 'b'):
                 shard.add(_make_job(name * 16, spec, 1, advice=True))
                 await asyncio.sleep(_SOON)
-            asked = [len(workers) for workers, _ in shard.requests]
-            self.assertEqual([12, 12, 24], asked)
+            requested = [len(workers) for workers, _ in shard.requests]
+            self.assertEqual([12, 12, 24], requested)
 
         self.run_scenario(scenario)
 
@@ -260,15 +260,17 @@
                 await shard.add_worker(f'w-{number:02d}')
             lanes = [InstanceId(f'lane-{lane}') for lane in range(40)]
             shard.dispatcher.set_advice_lanes(lanes)
-            asked: list[int] = []
+            requested: list[int] = []
             for name, gang in (('a' * 16, False), ('b' * 16, True)):
                 spec = StepSpec(80, Size(8000, 1), gang=gang)
                 before = len(shard.requests)
                 shard.add(_make_job(name, spec, 2, advice=True))
                 await asyncio.sleep(_SOON)
                 new = shard.requests[before:]
-                asked.append(len({one for names, _ in new for one in names}))
-            self.assertGreaterEqual(asked[1], min(90, 2 * asked[0]))
+                requested.append(
+                    len({one for names, _ in new for one in names})
+                )
+            self.assertGreaterEqual(requested[1], min(90, 2 * requested[0]))
 
         self.run_scenario(scenario)
 
@@ -283,8 +285,10 @@
         )
         job = _make_job('a' * 16, spec, 1, advice=True)
         step = job.steps(0)[0]
-        every = list(shard.state.tracked_by_worker)
-        step.permits.record_advice(every, dict.fromkeys(every, 'old'), 0)
+        all_workers = list(shard.state.tracked_by_worker)
+        step.permits.record_advice(
+            all_workers, dict.fromkeys(all_workers, 'old'), 0
+        )
         shard.add(job)
         await asyncio.sleep(_SOON)
         return step
@@ -299,10 +303,10 @@
         async def scenario(shard: _Scenario) -> None:
             spec = StepSpec(_WIDE, Size(1000), most_per_worker=1)
             step = await self.wait_with_expired_tickets(shard, spec)
-            asked = [len(workers) for workers, _ in shard.requests]
-            self.assertLessEqual(max(asked), _MAX_IN_CALL)
-            self.assertEqual(_WIDE, sum(asked))
-            for number, _ in enumerate(asked):
+            requested = [len(workers) for workers, _ in shard.requests]
+            self.assertLessEqual(max(requested), _MAX_IN_CALL)
+            self.assertEqual(_WIDE, sum(requested))
+            for number, _ in enumerate(requested):
                 await shard.answer(number, valid=1.5)
             self.assert_placed(step)
 
@@ -340,11 +344,11 @@
             await shard.answer(0, valid=0)
             renewed = shard.requests[1][0]
             self.assertEqual(4, len(renewed))
-            lost = shard.state.tracked_by_worker[renewed[0]]
-            lost.listed = False
+            removed = shard.state.tracked_by_worker[renewed[0]]
+            removed.listed = False
             await shard.answer(1, valid=5)
             workers = {task.worker for task in job.steps(0)[0].tasks}
-            self.assertEqual(2, len(workers - {'', lost.worker}))
+            self.assertEqual(2, len(workers - {'', removed.worker}))
 
         self.run_scenario(scenario)
 
--- a/orchidrail/shard/tests/test_placer_wait_bounds.py
+++ b/orchidrail/shard/tests/test_placer_wait_bounds.py
@@ -67,7 +67,7 @@
         self.runs = RunTracker(self.state, self._note_fence, 0)
         self.dispatcher = AdviceDispatcher(self._call_advice, self.clock)
         self.placer = Placer(self.state, self.runs, self.dispatcher)
-        self.asked: list[list[WorkerId]] = []
+        self.requested: list[list[WorkerId]] = []
         self.answers: list[asyncio.Future[Advice | None]] = []
 
     def clock(self) -> Seconds:
@@ -83,7 +83,7 @@
         workers: list[WorkerId],
         timeout: Seconds,
     ) -> Advice | None:
-        self.asked.append(workers)
+        self.requested.append(workers)
         self.answers.append(asyncio.get_running_loop().create_future())
         return await self.answers[-1]
 
@@ -282,7 +282,7 @@
 
         One task of the step has free capacity.
         """
-        asked: list[WorkerId] = []
+        requested: list[WorkerId] = []
 
         async def scenario(shard: _Scenario) -> None:
             tracked_workers = [
@@ -296,10 +296,10 @@
             shard.dispatcher.set_advice_lanes([InstanceId('lane')])
             spec = StepSpec(names, Size(60_000, 1))
             await shard.add('a', spec, priority=0, advice=_SHORT_COST)
-            asked.extend(shard.asked[0])
+            requested.extend(shard.requested[0])
 
         self.run_scenario(scenario)
-        return asked
+        return requested
 
     def test_a_renewal_of_an_urgent_step_stays_a_short_call(self) -> None:
         """Guards against urgent renewals queued behind long calls.
@@ -307,9 +307,9 @@
         One worker has free capacity; the others are checked only in case they
         have some when the answer arrives.
         """
-        asked = self.find_renewed(60)
-        duration = _SHORT_COST.duration(len(asked))
-        self.assertLess(duration, _SHORT_CALL, f'{len(asked)} workers')
+        requested = self.find_renewed(60)
+        duration = _SHORT_COST.duration(len(requested))
+        self.assertLess(duration, _SHORT_CALL, f'{len(requested)} workers')
 
     def test_a_renewal_does_not_name_workers_that_have_left(
         self,
@@ -341,7 +341,7 @@
             )
             second.release_hold('other')
             first.quarantine(shard.clock(), _LONG_WAIT)
-            tickets = dict.fromkeys(shard.asked[0], 'new')
+            tickets = dict.fromkeys(shard.requested[0], 'new')
             shard.answers[0].set_result(Advice(tickets, 1.5))
             await asyncio.sleep(_SOON)
             self.assertEqual(second.worker, step.tasks[0].worker)
--- a/orchidrail/shard/tests/test_quarantine.py
+++ b/orchidrail/shard/tests/test_quarantine.py
@@ -50,7 +50,7 @@
             for name in names
             for job in ('a', 'b')
         ]
-        self.assertEqual(2, sum(rest > 0 for rest in durations))
+        self.assertEqual(2, sum(duration > 0 for duration in durations))
 
     def test_old_failures_are_ignored(self) -> None:
         """If only long-running tasks run, there is no success in between."""
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -108,7 +108,7 @@
         self.assertTrue(tracked.is_compatible(best_effort_spec))
 
     def test_urgent_work_leaves_slower_workers_to_other_work(self) -> None:
-        slow, usual = make_books('slow'), make_books('usual', cores=8)
+        slow, typical = make_books('slow'), make_books('usual', cores=8)
         slow.speed_class = SpeedClass.SLOWER
         step = make_step(StepSpec(1, Size(1000)))
         urgent = msgspec.structs.replace(step.job.queue, priority=0)
@@ -118,7 +118,7 @@
                 step.job.record,
                 queue=queue,
             )
-            chosen = choose_workers(step, step.startable(), [slow, usual])
+            chosen = choose_workers(step, step.startable(), [slow, typical])
             self.assertEqual(expected, chosen[0].tracked.worker)
 
     def test_a_finished_gang_member_is_not_stalled(self) -> None:
--- a/orchidrail/shard/worker_selection.py
+++ b/orchidrail/shard/worker_selection.py
@@ -52,11 +52,11 @@
         Workers that may be used.
     """
     spec = step.spec
-    suspects = [task for task in tasks if task.suspected]
-    if suspects and not spec.gang:
-        return _choose_isolated(step, tasks, suspects, open_workers)
+    suspected_tasks = [task for task in tasks if task.suspected]
+    if suspected_tasks and not spec.gang:
+        return _choose_isolated(step, tasks, suspected_tasks, open_workers)
     ordered = _order_by_preference(step, open_workers)
-    if suspects:
+    if suspected_tasks:
         ordered.sort(key=TrackedWorker.isolation_cost)
     if spec.one_rack and spec.gang:
         within = _choose_within_rack(step, tasks, ordered)
@@ -71,7 +71,7 @@
 def _choose_isolated(
     step: StepState,
     tasks: list[Task],
-    suspects: list[Task],
+    suspected_tasks: list[Task],
     open_workers: list[TrackedWorker],
 ) -> list[Placement]:
     """Place each suspected task on a worker without other new tasks.
@@ -84,7 +84,7 @@
     chosen = choose_workers(step, others, open_workers) if others else []
     used = {placement.tracked.worker for placement in chosen}
     spec = step.spec
-    for task in suspects:
+    for task in suspected_tasks:
         fitting = [
             tracked
             for tracked in open_workers
