--- a/orchidrail/shard/tests/test_quarantine.py
+++ b/orchidrail/shard/tests/test_quarantine.py
@@ -10,7 +10,7 @@
 _WORKER = WorkerId('w')
 _LATER: Seconds = 100.0
 #: Work may make no progress for 3 s, which includes an advice request.
-_MAX_BEARABLE: Seconds = 2.0
+_MAX_QUARANTINE: Seconds = 2.0
 
 
 class QuarantinePolicyTest(TestCase):
@@ -18,7 +18,7 @@
         super().setUp()
         self.policy = QuarantinePolicy()
 
-    def record_failure(  # type: ignore[override]
+    def record_failure(
         self,
         job: str,
         now: Seconds,
@@ -70,4 +70,4 @@
     def test_a_quarantine_has_a_maximum_duration(self) -> None:
         """A step may have no other permitted worker."""
         durations = [self.record_failure(job, now=0) for job in 'abcdefgh']
-        self.assertLessEqual(max(durations), _MAX_BEARABLE)
+        self.assertLessEqual(max(durations), _MAX_QUARANTINE)
