--- a/orchidrail/shard/crash_evidence.py
+++ b/orchidrail/shard/crash_evidence.py
@@ -107,16 +107,16 @@
     ]
 
 
-def _is_evidence(isolated: PlacedRun, recent: list[PlacedRun]) -> bool:
+def _is_evidence(retry: PlacedRun, recent: list[PlacedRun]) -> bool:
     """Whether a crash during an isolated retry is evidence against it.
 
     While the retry itself is recent, no other run may be, except members of its
     own gang. Later, other runs start beside it all the time in a busy cell, so
     a task that crashes its workers after seconds would never be alone.
     """
-    if isolated not in recent:
+    if retry not in recent:
         return True
-    return all(_same_gang(run, isolated) for run in recent)
+    return all(_same_gang(run, retry) for run in recent)
 
 
 def _same_gang(one: PlacedRun, other: PlacedRun) -> bool:
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -330,10 +330,12 @@
 
         async def scenario(shard: Shard) -> None:
             task = shard.add(make_job(StepSpec(1))).tasks[0]
-            gone = WorkerId('gone')
-            task.step.job.place(task, RunNumber(1), gone)
-            shard.state.unresolved_runs[gone] = [(task, task.run)]
-            shard.runs.presume_worker_lost(gone, IncarnationEnd.NEVER_REACHED)
+            lost_worker = WorkerId('gone')
+            task.step.job.place(task, RunNumber(1), lost_worker)
+            shard.state.unresolved_runs[lost_worker] = [(task, task.run)]
+            shard.runs.presume_worker_lost(
+                lost_worker, IncarnationEnd.NEVER_REACHED
+            )
             self.assertEqual(1, task.crashes)
 
         self.run_scenario(scenario)
--- a/orchidrail/shard/tests/test_next_incarnations.py
+++ b/orchidrail/shard/tests/test_next_incarnations.py
@@ -55,16 +55,16 @@
             await asyncio.sleep(READ_WAIT)
             worker.born = 2000
             await asyncio.sleep(2 * READ_WAIT)
-            tracked = owner.state.tracked_by_worker
-            self.assertEqual(['w-1@2000'], list(tracked))
+            workers_in_session = owner.state.tracked_by_worker
+            self.assertEqual(['w-1@2000'], list(workers_in_session))
             await self.write_incarnation_entry(1000)
-            self.assertEqual(['w-1@2000'], list(tracked))
-            met = tracked[WorkerId('w-1@2000')]
-            self.assertTrue(met.session.reachable)
-            self.assertFalse(met.accepts_work(time.monotonic()))
+            self.assertEqual(['w-1@2000'], list(workers_in_session))
+            current = workers_in_session[WorkerId('w-1@2000')]
+            self.assertTrue(current.session.reachable)
+            self.assertFalse(current.accepts_work(time.monotonic()))
             await self.write_incarnation_entry(2000)
-            self.assertEqual([met], list(tracked.values()))
-            self.assertTrue(met.accepts_work(time.monotonic()))
+            self.assertEqual([current], list(workers_in_session.values()))
+            self.assertTrue(current.accepts_work(time.monotonic()))
 
         self.run_scenario(scenario)
 
@@ -104,9 +104,11 @@
             next_owner = await self.take_ownership(1, workers)
             running = asyncio.create_task(next_owner.run())
             await asyncio.sleep(READ_WAIT)
-            kept = next_owner.state.job_by_id[JOB].find_task(0, 0, 0)
-            assert kept is not None
-            self.assertEqual((TaskPhase.PLACED, 1), (kept.phase, kept.run))
+            restored = next_owner.state.job_by_id[JOB].find_task(0, 0, 0)
+            assert restored is not None
+            self.assertEqual(
+                (TaskPhase.PLACED, 1), (restored.phase, restored.run)
+            )
             self.assertEqual([], workers.starts)
             self.assertEqual(1, len(next_owner.state.tracked_by_worker))
             running.cancel()
--- a/orchidrail/shard/tests/test_runs.py
+++ b/orchidrail/shard/tests/test_runs.py
@@ -352,14 +352,16 @@
         async def scenario(shard: Shard) -> None:
             job = make_job(StepSpec(1, size=Size(500)))
             task = shard.add(job).tasks[0]
-            gone = WorkerId('gone')
-            job.place(task, RunNumber(1), gone)
-            shard.state.unresolved_runs[gone] = [(task, task.run)]
+            lost_worker = WorkerId('gone')
+            job.place(task, RunNumber(1), lost_worker)
+            shard.state.unresolved_runs[lost_worker] = [(task, task.run)]
             key = RunKey(task.key, RunNumber(2))
             shard.worker.active[key] = ActiveRun(key, '', 50)
             await shard.poll()
             self.assertEqual(2, task.run)
-            shard.runs.presume_worker_lost(gone, IncarnationEnd.LEASE_EXPIRED)
+            shard.runs.presume_worker_lost(
+                lost_worker, IncarnationEnd.LEASE_EXPIRED
+            )
             self.assertIs(TaskPhase.PLACED, task.phase)
 
         self.run_scenario(scenario)
