--- a/orchidrail/instance/store_relays.py
+++ b/orchidrail/instance/store_relays.py
@@ -58,12 +58,12 @@
 
     def _choose_peer(self) -> MemberInfo | None:
         candidates = self._table.live_peers_with_store()
-        skip_before = self._clock() - _SKIP_FAILED_FOR
+        skip_failed_after = self._clock() - _SKIP_FAILED_FOR
         not_failed = [
             peer
             for peer in candidates
-            if self._failed_at_by_peer.get(peer.name, skip_before)
-            <= skip_before
+            if self._failed_at_by_peer.get(peer.name, skip_failed_after)
+            <= skip_failed_after
         ]
         return random.choice(not_failed or candidates) if candidates else None
 
--- a/orchidrail/metrics.py
+++ b/orchidrail/metrics.py
@@ -63,7 +63,7 @@
     def __init__(self) -> None:
         """Register the metrics in a registry of their own."""
         self.registry = CollectorRegistry()
-        self._queue_labels = LabelLimiter(_MAX_LABEL_VALUES)
+        self._tenant_labels = LabelLimiter(_MAX_LABEL_VALUES)
         self.waiting = Histogram(
             'orchidrail_waiting_seconds',
             'From arrival to the start at a worker.',
@@ -103,7 +103,7 @@
         seconds: Seconds,
     ) -> None:
         """Observe one waiting time."""
-        label = self._queue_labels.label(tenant)
+        label = self._tenant_labels.label(tenant)
         self.waiting.labels(label, class_name).observe(seconds)
 
     def observe_run(
@@ -113,7 +113,7 @@
         seconds: Seconds,
     ) -> None:
         """Observe one run time."""
-        label = self._queue_labels.label(tenant)
+        label = self._tenant_labels.label(tenant)
         self.running.labels(label, class_name).observe(seconds)
 
     def count_reply(
@@ -123,7 +123,7 @@
         verdict: str,
     ) -> None:
         """Count one reply."""
-        label = self._queue_labels.label(tenant)
+        label = self._tenant_labels.label(tenant)
         self.replies.labels(label, class_name, verdict).inc()
 
 
--- a/orchidrail/settings.py
+++ b/orchidrail/settings.py
@@ -89,7 +89,7 @@
 class SchedulerSettings(_Daemon, frozen=True, kw_only=True):
     """Settings of ``orchidrail-scheduler``."""
 
-    #: Other schedulers of the zone, at least one of which should be reachable.
+    #: Other schedulers of the zone, some of which should be reachable.
     seeds: list[Address] = []
     #: Some schedulers of other zones.
     foreign_seeds: list[Address] = []
