--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,7 +1,7 @@
-"""A randomised soak of the real programs under faults from outside.
+"""Randomized soak test of the real programs under injected faults.
 
-``python -m soak --seed 1`` starts the instances as separate processes, and in
-this process stand-ins for the platform's store, its workers and its callers.
-Proxies on loopback and signals do the harm; judges check the promises from
-what callers and workers see.
+``python -m soak --seed 1`` starts the instances as separate processes. This
+process runs stand-ins for the platform's store, its workers and its callers.
+Faults are injected by loopback proxies and by signals. The guarantees are
+checked against what callers and workers observe.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the soak."""
+"""Command line of the soak test."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import fire
 
-from soak.run import Outcome, play
+from soak.run import Outcome, run_seed
 
 
 def main(
@@ -18,16 +18,16 @@
     logs: str = '',
     per_zone: int = 2,
 ) -> None:
-    """Play seeds from `seed` on, `jobs` of them side by side.
+    """Run `seeds` seeds from `seed` on, `jobs` of them in parallel.
 
-    Each has `per_zone` processes in each of three zones.
+    Each run has `per_zone` processes in each of three zones.
     """
-    broken = 0
+    violations = 0
     with ProcessPoolExecutor(jobs) as pool:
         numbers = range(seed, seed + seeds)
         runs = [
             pool.submit(
-                play,
+                run_seed,
                 number,
                 1 + index % 200,
                 seconds,
@@ -38,23 +38,23 @@
         ]
         for number, run in zip(numbers, runs, strict=True):
             outcome = run.result()
-            broken += len(outcome.broken)
-            print(_line(number, outcome), flush=True)
-    print(f'{seeds} seeds, {broken} promises broken')
-    sys.exit(bool(broken))
+            violations += len(outcome.violations)
+            print(_summary_line(number, outcome), flush=True)
+    print(f'{seeds} seeds, {violations} promises broken')
+    sys.exit(bool(violations))
 
 
-def _line(seed: int, outcome: Outcome) -> str:
+def _summary_line(seed: int, outcome: Outcome) -> str:
     text = (
         f'seed {seed}: {outcome.jobs} jobs, {outcome.accepted} accepted, '
         f'{sum(outcome.faults.values())} faults, '
         f'{outcome.lasting} lasting ({outcome.lasting_failures} failed runs, '
-        f'away for {outcome.longest_away:.1f} s at the most), '
+        f'away for {outcome.longest_interruption:.1f} s at the most), '
         f'{outcome.gang_failures} failed runs of gangs, '
         f'idle for {outcome.longest_idle:.1f} s at the most, '
-        f'{len(outcome.broken)} broken'
+        f'{len(outcome.violations)} broken'
     )
-    return '\n    '.join([text, *outcome.broken[:5]])
+    return '\n    '.join([text, *outcome.violations[:5]])
 
 
 if __name__ == '__main__':
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers that hand jobs in, ask for them, and believe what they are told."""
+"""Simulated callers that submit, poll and cancel jobs."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from soak.tenants import Operator
 
 _HOST = 'queue.example'
-#: First parts of the paths of the queues without and with advice.
+#: Path prefixes of the queues without and with advice.
 _PREFIXES = 'q', 'advised'
-_DEADLINE = 3.0
-_TRIES = 4
-_ASK_EVERY = 0.4
+_DEADLINE_SECONDS = 3.0
+_MAX_TRIES = 4
+_POLL_INTERVAL = 0.4
 _CRASHING_SHARE = 0.02
-_HOPELESS_SHARE = 0.05
+_ALWAYS_FAILING_SHARE = 0.05
 #: Share of the jobs that ask for accelerators.
 _ACCELERATED_SHARE = 0.4
-#: Share of the jobs for the queue with advice.
+#: Share of the jobs that go to the queue with advice.
 _ADVISED_SHARE = 0.2
-#: Share of the jobs before which a call with a key that nobody had is made.
-_FALSE_KEYS = 0.1
+#: Share of the jobs before which a call with an unknown key is made.
+_UNKNOWN_KEY_SHARE = 0.1
 _STEPS: tuple[list[dict[str, Any]], ...] = (
     [{'count': 2, 'cpu': 2000, 'memMb': 100, 'estimatedMs': 300}],
     [{'count': 1, 'cpu': 1000, 'memMb': 100, 'estimatedMs': 100}],
@@ -62,7 +62,8 @@
         }
     ],
     [{'count': 2, 'cpu': 500, 'memMb': 100, 'gpu': 4, 'estimatedMs': 300}],
-    # Two workers have this label and accelerators; each takes one task.
+    # Two workers have this label and accelerators; each has capacity for one
+    # task.
     [
         {
             'count': 3,
@@ -73,7 +74,7 @@
             'requirements': 'r-1',
         }
     ],
-    # Of its members, each takes a whole worker's accelerators.
+    # Each member of the gang uses all accelerators of a worker.
     [
         {
             'count': 2,
@@ -106,7 +107,7 @@
 
 
 class Callers:
-    """Sends jobs at some rate to addresses chosen at random."""
+    """Submits jobs at a given rate to addresses chosen at random."""
 
     def __init__(
         self,
@@ -116,14 +117,14 @@
         crashing: Random | None,
         operator: Operator,
         tenants: Random,
-        kinds: Random | None = None,
+        variants: Random | None = None,
     ) -> None:
-        """Open no connection yet.
+        """Create the HTTP session; connections are opened on demand.
 
-        Without `crashing` no job crashes workers; without `kinds` none fails,
-        asks for accelerators or needs advice.
+        Without `crashing` no job crashes workers. Without `variants` no job
+        fails, requests accelerators or needs advice.
         """
-        self._kinds = kinds
+        self._variants = variants
         self._operator = operator
         self._tenants = tenants
         self.endings: Counter[str] = Counter()
@@ -133,24 +134,24 @@
         self._crashing = crashing
         self._tasks: set[asyncio.Task[None]] = set()
         self._session = aiohttp.ClientSession(
-            timeout=aiohttp.ClientTimeout(total=_DEADLINE),
+            timeout=aiohttp.ClientTimeout(total=_DEADLINE_SECONDS),
         )
 
     async def run(self, until: float, per_second: float) -> None:
-        """Hand jobs in until a time of the steady clock."""
+        """Submit jobs until a time of the monotonic clock."""
         while time.monotonic() < until:
-            self._spawn(self._live_through(self._make_job()))
+            self._spawn(self._run_lifecycle(self._make_job()))
             await asyncio.sleep(self._random.expovariate(per_second))
 
-    async def settle(self, within: float) -> None:
-        """Ask for every accepted job until it has ended, or time is up."""
+    async def wait_until_ended(self, within: float) -> None:
+        """Poll accepted jobs until all have ended, for `within` seconds."""
         until = time.monotonic() + within
         while time.monotonic() < until and self._open_jobs():
-            await asyncio.gather(*(self.ask(job) for job in self._open_jobs()))
-            await asyncio.sleep(_ASK_EVERY)
+            await asyncio.gather(*(self.poll(job) for job in self._open_jobs()))
+            await asyncio.sleep(_POLL_INTERVAL)
 
     async def close(self) -> None:
-        """Give up all calls in progress."""
+        """Cancel all calls in flight and close the session."""
         for task in self._tasks:
             task.cancel()
         await self._session.close()
@@ -159,7 +160,9 @@
         return [
             job
             for job in self._ledger.job_by_id.values()
-            if job.accepted and not job.cancel_sent and not job.over
+            if job.accepted
+            and not job.cancel_sent
+            and not job.ended_as_expected
         ]
 
     def _spawn(self, work: Any) -> None:
@@ -170,90 +173,97 @@
     def _make_job(self) -> SentJob:
         job_id = f'{self._random.getrandbits(64):016x}'
         steps = self._random.choice(_STEPS)
-        # Drawn by themselves, so that seeds kept from before play as they did.
+        # A separate generator, so that older seeds reproduce the same run.
         crashing = False
-        if self._crashing is not None and self._ledger.calm_since is None:
+        if self._crashing is not None and self._ledger.fault_free_since is None:
             crashing = self._crashing.random() < _CRASHING_SHARE
         job = SentJob(job_id, f'text-{job_id}', steps, crashing)
-        if self._kinds is not None:
-            self._vary(job, self._kinds)
+        if self._variants is not None:
+            self._draw_variant(job, self._variants)
         job.tenant = self._operator.draw_tenant(self._tenants)
         self._ledger.job_by_id[job_id] = job
         return job
 
-    def _vary(self, job: SentJob, random: Random) -> None:
-        """Draw how a job fails, what it asks for, and its queue."""
+    def _draw_variant(self, job: SentJob, random: Random) -> None:
+        """Draw the failures, the resources and the queue of a job."""
         job.failing = Failing.SOMETIMES
-        if random.random() < _HOPELESS_SHARE:
+        if random.random() < _ALWAYS_FAILING_SHARE:
             job.failing = Failing.ALWAYS
         if random.random() < _ACCELERATED_SHARE:
             job.steps = random.choice(_ACCELERATED_STEPS)
-        # Advice might permit none of the workers with a label.
+        # Advice may permit none of the workers that have a label.
         labelled = any('requirements' in step for step in job.steps)
         job.advised = random.random() < _ADVISED_SHARE and not labelled
 
-    async def _live_through(self, job: SentJob) -> None:
-        if job.tenant and self._tenants.random() < _FALSE_KEYS:
-            await self._try_false_key(job)
+    async def _run_lifecycle(self, job: SentJob) -> None:
+        if job.tenant and self._tenants.random() < _UNKNOWN_KEY_SHARE:
+            await self._try_unknown_key(job)
         await self.submit(job)
         if job.accepted and self._random.random() < 0.06:
             await asyncio.sleep(self._random.uniform(0, 1))
             await self.cancel(job)
-        while job.accepted and not job.cancel_sent and not job.over:
-            await asyncio.sleep(_ASK_EVERY)
-            await self.ask(job)
+        while (
+            job.accepted and not job.cancel_sent and not job.ended_as_expected
+        ):
+            await asyncio.sleep(_POLL_INTERVAL)
+            await self.poll(job)
 
-    async def _try_false_key(self, job: SentJob) -> None:
-        """Ask for a job's queue with a key that nobody ever had."""
+    async def _try_unknown_key(self, job: SentJob) -> None:
+        """Call the queue of a job with a key that was never issued."""
         status = await self._call('DELETE', job, key='no-such-key')
         self.endings[f'false key {status}'] += 1
         if status not in {401, 503, 0, -1}:
-            self._ledger.breach('ROUTE', f'a false key got {status}')
+            self._ledger.report_violation(
+                'ROUTE', f'a call with an unknown key got {status}'
+            )
 
-    async def check_keys(self, taken: list[str]) -> None:
-        """Ask each machine, in calm, with keys taken away and a good one."""
+    async def check_keys(self, revoked: list[str]) -> None:
+        """Check on each instance that revoked keys get 401 and a valid one not.
+
+        Must be called while no faults are injected.
+        """
         job = SentJob('0' * 16, '', [])
         for address in self._addresses:
             for key, served in (
-                *((key, False) for key in taken),
+                *((key, False) for key in revoked),
                 (self._operator.key_of('small'), True),
             ):
                 status = await self._call('GET', job, key=key, address=address)
                 if (status == 401) is served:
                     detail = f'{key} got {status} at {address}'
-                    self._ledger.breach('CONFIG', detail)
+                    self._ledger.report_violation('CONFIG', detail)
 
     async def submit(self, job: SentJob) -> None:
-        """Hand a job in, a few times at the most."""
+        """Submit a job, with a limited number of tries."""
         body = {'spec': job.text, 'phases': job.steps}
-        for _ in range(_TRIES):
+        for _ in range(_MAX_TRIES):
             status = await self._call('POST', job, body)
             self.endings[f'submit {status}'] += 1
             if status == 200:
                 job.accepted = True
                 job.accepted_at = time.monotonic()
                 return
-            refused = status in {429, 503, -1}
-            # The key that was read before may have been taken away since.
-            refused = refused or (status == 401 and bool(job.tenant))
+            rejected = status in {429, 503, -1}
+            # The key may have been revoked after it was read.
+            rejected = rejected or (status == 401 and bool(job.tenant))
             if status == 404:
-                self._ledger.breach('CONFIG', f'{job.job_id} got 404')
-            job.doubtful = job.doubtful or not refused
+                self._ledger.report_violation('CONFIG', f'{job.job_id} got 404')
+            job.uncertain = job.uncertain or not rejected
             await asyncio.sleep(0.2)
 
     async def cancel(self, job: SentJob) -> int:
-        """Try to cancel a job once; return the status."""
+        """Send one cancel request for a job; return the status."""
         job.cancel_sent = True
         job.cancel_sent_at = job.cancel_sent_at or time.monotonic()
         status = await self._call('DELETE', job)
         self.endings[f'cancel {status}'] += 1
-        # A job that nobody knows may still be held up on its way.
+        # After 410, a job that was not accepted yet may still be in flight.
         if status == 200 or (status == 410 and job.accepted):
             job.cancelled_at = time.monotonic()
         return status
 
-    async def ask(self, job: SentJob) -> None:
-        """Ask for the state of a job once."""
+    async def poll(self, job: SentJob) -> None:
+        """Request the state of a job once."""
         await self._call('GET', job)
 
     async def _call(
@@ -264,13 +274,13 @@
         key: str = '',
         address: str = '',
     ) -> int:
-        """Return the status, 0 without an answer, -1 if not sent."""
+        """Return the status, 0 without a response, -1 if not connected."""
         address = address or self._random.choice(self._addresses)
         key = key or self._operator.key_of(job.tenant)
         headers = {
             'Authorization': f'Bearer {key}',
             'Host': _HOST,
-            'X-Orchidrail-Deadline-Ms': str(int(_DEADLINE * 1000)),
+            'X-Orchidrail-Deadline-Ms': str(int(_DEADLINE_SECONDS * 1000)),
             'Content-Type': 'application/json',
         }
         try:
@@ -287,5 +297,5 @@
             return 0
         if method == 'GET':
             state = json.loads(raw)['state'] if response.status == 200 else ''
-            self._ledger.note_state(job, response.status, state)
+            self._ledger.check_state(job, response.status, state)
         return response.status
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Seeded faults, in series and overlapping."""
+"""Injects seeded faults, one after another and overlapping."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from collections.abc import Awaitable, Callable
 from random import Random
 
-from soak.proxy import Harm, Proxy
+from soak.proxy import LinkFault, Proxy
 from soak.system import Instance
 from soak.workers import WorkerStandIn
 
-#: Share of the crashed workers that are back under their names.
-_KEEPS_NAME = 0.7
-#: Seconds until a worker crashes again: before it is looked at again, between
-#: two looks, and once it is at work.
-_CRASH_AGAIN = (0.01, 0.3, 1.5)
-#: Share of the entries by another writer that replace a worker's.
-_OVERWRITES = 0.3
-#: Seconds for which workers fail all that they start, and how many at once.
-_BROKEN_FOR = (2.0, 4.0)
-_MOST_BROKEN = 3
-_FOREIGN = (
+#: Share of the crashed workers that restart under the same name.
+_KEEPS_NAME_SHARE = 0.7
+#: Seconds until a worker crashes again: before the next poll, between two
+#: polls, or after it has started tasks.
+_CRASH_INTERVALS = (0.01, 0.3, 1.5)
+#: Share of the foreign entries that overwrite a worker's entry.
+_OVERWRITE_SHARE = 0.3
+#: Seconds for which workers fail every run, and how many at once.
+_BREAK_SECONDS = (2.0, 4.0)
+_MAX_BROKEN = 3
+_FOREIGN_ENTRIES = (
     b'\xff\xfe',
     b'[]',
     b'{"service":"service"}',
@@ -34,11 +34,16 @@
     b'{"service":"other","address":"127.0.0.1:1","zone":"zone-0",'
     b'"state":"ready","capacity":{"cpu":64000,"memMb":64000},"labels":[]}',
 )
-_HARMS = (Harm.DELAY, Harm.RESET, Harm.SILENCE, Harm.MUTE_ANSWERS)
+_LINK_FAULTS = (
+    LinkFault.DELAY,
+    LinkFault.RESET,
+    LinkFault.STALL,
+    LinkFault.STALL_RESPONSES,
+)
 
 
 class Faults:
-    """Does one thing after another to processes, links and workers."""
+    """Injects faults into processes, links and workers."""
 
     def __init__(
         self,
@@ -46,10 +51,13 @@
         workers: list[WorkerStandIn],
         worker_links: list[Proxy],
         random: Random,
-        returns: Random | None = None,
+        restarts: Random | None = None,
     ) -> None:
-        """Do nothing yet; `returns` has crashed workers keep their names."""
-        self._returns = returns
+        """Inject nothing yet.
+
+        With `restarts`, crashed workers may keep their names and crash again.
+        """
+        self._restarts = restarts
         self.count: Counter[str] = Counter()
         self._instances = instances
         self._workers = workers
@@ -64,73 +72,77 @@
             self._pause,
             self._pause,
             self._reload,
-            self._harm_store_of_one,
-            self._harm_store_of_one,
-            self._harm_store_of_all,
-            self._harm_workers,
+            self._disrupt_store_of_one,
+            self._disrupt_store_of_one,
+            self._disrupt_store_of_all,
+            self._disrupt_workers,
             self._crash_worker,
             self._drain_worker,
         )
 
     async def run(self, until: float) -> None:
-        """Begin faults until a time of the steady clock; await their ends."""
-        begun = []
+        """Inject faults until a monotonic time, then await their ends."""
+        started = []
         while time.monotonic() < until:
             fault = self._random.choice(self._kinds)
             self.count[fault.__name__.strip('_')] += 1
-            begun.append(asyncio.ensure_future(fault()))
+            started.append(asyncio.ensure_future(fault()))
             await asyncio.sleep(self._random.uniform(0.3, 2.5))
-        await asyncio.gather(*begun)
+        await asyncio.gather(*started)
         for instance in self._instances:
             instance.signal(signal.SIGCONT)
             await instance.start()
 
-    async def shrink_rooms(self, until: float, random: Random | None) -> None:
-        """Have workers lose half of their room now and then."""
+    async def shrink_capacities(
+        self, until: float, random: Random | None
+    ) -> None:
+        """Halve the capacity of a worker at random times."""
         while random is not None and time.monotonic() < until:
             await asyncio.sleep(random.uniform(0, 4))
             self.count['shrink_room'] += 1
-            await random.choice(self._workers).shrink(random.uniform(0, 4))
+            await random.choice(self._workers).shrink_capacity(
+                random.uniform(0, 4)
+            )
 
     async def write_entries(self, until: float, random: Random | None) -> None:
-        """Write entries as somebody else would, some over those of workers."""
+        """Write foreign entries, some over entries of workers."""
         while random is not None and time.monotonic() < until:
             await asyncio.sleep(random.uniform(0, 3))
             self.count['foreign_entry'] += 1
             worker = random.choice(self._workers)
-            raw = random.choice(_FOREIGN)
-            if random.random() < _OVERWRITES:
+            raw = random.choice(_FOREIGN_ENTRIES)
+            if random.random() < _OVERWRITE_SHARE:
                 worker.overwrite_entry(raw)
                 await asyncio.sleep(random.uniform(0, 3))
-                worker.enter('ready')
+                worker.write_entry('ready')
             else:
                 worker.overwrite_entry(raw, f'x-{random.randint(1, 9)}')
 
     async def break_workers(self, until: float, random: Random | None) -> None:
-        """Have some workers fail all that they start, now and then."""
+        """Have some workers fail every run they start, at random times."""
         while random is not None and time.monotonic() < until:
             await asyncio.sleep(random.uniform(1, 4))
             self.count['break_workers'] += 1
-            seconds = random.uniform(*_BROKEN_FOR)
-            broken = random.randint(1, _MOST_BROKEN)
+            seconds = random.uniform(*_BREAK_SECONDS)
+            broken = random.randint(1, _MAX_BROKEN)
             for worker in random.sample(self._workers, broken):
                 worker.break_for(seconds)
             await asyncio.sleep(seconds)
 
-    def _some_time(self, most: float = 5) -> float:
-        return self._random.uniform(0.3, most)
+    def _draw_seconds(self, maximum: float = 5) -> float:
+        return self._random.uniform(0.3, maximum)
 
     async def _kill(self) -> None:
         instance = self._random.choice(self._instances)
         await instance.kill()
-        await asyncio.sleep(self._some_time(3))
+        await asyncio.sleep(self._draw_seconds(3))
         await instance.start()
 
     async def _kill_many(self) -> None:
         count = self._random.randint(2, len(self._instances))
         chosen = self._random.sample(self._instances, count)
         await asyncio.gather(*(instance.kill() for instance in chosen))
-        await asyncio.sleep(self._some_time(2))
+        await asyncio.sleep(self._draw_seconds(2))
         await asyncio.gather(*(instance.start() for instance in chosen))
 
     async def _stop(self) -> None:
@@ -147,7 +159,7 @@
     async def _pause(self) -> None:
         instance = self._random.choice(self._instances)
         instance.signal(signal.SIGSTOP)
-        await asyncio.sleep(self._some_time())
+        await asyncio.sleep(self._draw_seconds())
         instance.signal(signal.SIGCONT)
 
     async def _reload(self) -> None:
@@ -156,43 +168,43 @@
             if self._random.random() < 0.7:
                 instance.signal(signal.SIGHUP)
 
-    async def _harm_store_of_one(self) -> None:
+    async def _disrupt_store_of_one(self) -> None:
         instance = self._random.choice(self._instances)
-        await self._harm([instance.store])
+        await self._disrupt([instance.store])
 
-    async def _harm_store_of_all(self) -> None:
-        await self._harm([instance.store for instance in self._instances])
+    async def _disrupt_store_of_all(self) -> None:
+        await self._disrupt([instance.store for instance in self._instances])
 
-    async def _harm_workers(self) -> None:
+    async def _disrupt_workers(self) -> None:
         count = self._random.randint(1, len(self._worker_links) // 2)
-        await self._harm(self._random.sample(self._worker_links, count))
+        await self._disrupt(self._random.sample(self._worker_links, count))
 
-    async def _harm(self, links: list[Proxy]) -> None:
-        harm = self._random.choice(_HARMS)
+    async def _disrupt(self, links: list[Proxy]) -> None:
+        link_fault = self._random.choice(_LINK_FAULTS)
         for link in links:
             link.delay = self._random.uniform(0.02, 0.3)
-            link.set_harm(harm)
-        await asyncio.sleep(self._some_time())
+            link.set_fault(link_fault)
+        await asyncio.sleep(self._draw_seconds())
         for link in links:
-            link.set_harm(Harm.NONE)
-            if harm is Harm.SILENCE:
-                # What a cut held up is lost when its sender gave up.
+            link.set_fault(LinkFault.NONE)
+            if link_fault is LinkFault.STALL:
+                # Stalled bytes must not arrive after their sender timed out.
                 link.reset_all()
 
     async def _crash_worker(self) -> None:
         worker = self._random.choice(self._workers)
-        if self._returns is None:
+        if self._restarts is None:
             worker.crash()
         else:
-            await self._crash_again(worker, self._returns)
+            await self._crash_again(worker, self._restarts)
 
     async def _crash_again(self, worker: WorkerStandIn, random: Random) -> None:
-        """Crash a worker once, or again while it is met again."""
+        """Crash a worker up to three times, also while it reconnects."""
         for _ in range(random.randint(1, 3)):
-            keeps_name = random.random() < _KEEPS_NAME
+            keeps_name = random.random() < _KEEPS_NAME_SHARE
             self.count['return_under_name'] += keeps_name
             worker.crash(keeps_name=keeps_name)
-            await asyncio.sleep(random.choice(_CRASH_AGAIN))
+            await asyncio.sleep(random.choice(_CRASH_INTERVALS))
 
     async def _drain_worker(self) -> None:
         worker = self._random.choice(self._workers)
--- a/soak/gangs.py
+++ b/soak/gangs.py
@@ -1,4 +1,4 @@
-"""Runs of gangs, whose members are on several workers and share one fate."""
+"""Runs of gangs, whose members on several workers end together."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class GangState(Enum):
-    """How far a run of a gang is; a task by itself is a gang of one."""
+    """State of a gang run; a single task is a gang of one."""
 
     GATHERING = 'gathering'
     WORKING = 'working'
@@ -17,7 +17,7 @@
 
 
 class GangRun:
-    """One run of a gang, as its workers know of it."""
+    """One run of a gang, as observed by its workers."""
 
     def __init__(self) -> None:
         """Start without members."""
@@ -26,35 +26,35 @@
 
     @classmethod
     def of_one(cls) -> Self:
-        """Return the run of a task by itself, which waits for nobody."""
+        """Return the run of a single task, which waits for no members."""
         run = cls()
         run.state = GangState.WORKING
         return run
 
     def join(self, task: str, members: int) -> None:
-        """Take a member that was started, of as many as there are to be."""
+        """Record that a member started, out of `members` in total."""
         self._present.add(task)
         if self.state is GangState.GATHERING and len(self._present) == members:
             self.state = GangState.WORKING
 
-    def leave(self, how: str) -> None:
-        """Take that a member's run has ended; one that is done is for all."""
+    def leave(self, ending: str) -> None:
+        """Record that a member ended; one `done` completes the gang."""
         if self.state is not GangState.DONE:
-            done = how == 'done'
+            done = ending == 'done'
             self.state = GangState.DONE if done else GangState.BROKEN
 
 
 class Gangs:
-    """All runs of gangs."""
+    """All gang runs by step key and run number."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without runs."""
         self._run_by_key: defaultdict[tuple[str, int], GangRun] = defaultdict(
             GangRun
         )
 
     def join(self, task: str, run: int, members: int) -> GangRun:
-        """Return the run of its gang that a task has joined."""
+        """Add a task to the run of its gang; return that run."""
         gang = self._run_by_key[task.rpartition('.')[0], run]
         gang.join(task, members)
         return gang
--- a/soak/http.py
+++ b/soak/http.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in on given sockets, in this process."""
+"""Serves stand-ins over HTTP on given sockets, in this process."""
 
 from __future__ import annotations
 
@@ -14,32 +14,35 @@
 
 from orchidrail.http_handlers import as_handler
 
-Answerer = Callable[[Request], Awaitable[Response]]
+Handler = Callable[[Request], Awaitable[Response]]
 
 
 class _Server(uvicorn.Server):
     @contextmanager
     def capture_signals(self) -> Generator[None]:
-        """Leave signals to the program."""
+        """Install no signal handlers: the soak itself handles signals."""
         yield
 
 
-def answer(status: int, body: Any = None) -> Response:
-    """Return an answer with a JSON body, or without any."""
+def json_response(status: int, body: Any = None) -> Response:
+    """Return a response with a JSON body, or with none.
+
+    Bytes are sent as they are.
+    """
     if body is None:
         return Response(status)
-    raw = body if isinstance(body, bytes) else json.dumps(body).encode()
-    return Response(status, content=Content(b'application/json', raw))
+    encoded = body if isinstance(body, bytes) else json.dumps(body).encode()
+    return Response(status, content=Content(b'application/json', encoded))
 
 
 async def serve(
     stack: AsyncExitStack,
-    answerer: Answerer,
+    handler: Handler,
     sockets: list[socket.socket],
 ) -> None:
-    """Serve until the stack closes."""
+    """Serve requests until the stack closes."""
     app = Application(router=Router())
-    app.router.fallback = as_handler(answerer)
+    app.router.fallback = as_handler(handler)
     server = _Server(
         uvicorn.Config(
             app,
@@ -53,8 +56,8 @@
     )
     task = asyncio.create_task(server.serve(sockets=sockets))
 
-    async def end() -> None:
+    async def shut_down() -> None:
         server.should_exit = True
         await asyncio.wait([task], timeout=3)
 
-    stack.push_async_callback(end)
+    stack.push_async_callback(shut_down)
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that harms what goes through it."""
+"""Loopback TCP proxy that injects network faults."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 _CHUNK = 65536
 
 
-class Harm(Enum):
-    """What is done to the bytes."""
+class LinkFault(Enum):
+    """Faults of a link."""
 
     NONE = 'none'
-    #: Each piece is held up for a while, both ways.
+    #: Each chunk is delayed, in both directions.
     DELAY = 'delay'
-    #: Connections are reset, and new ones too.
+    #: Open and new connections are reset.
     RESET = 'reset'
-    #: Nothing comes through, either way; connections stay open.
-    SILENCE = 'silence'
-    #: Requests come through, answers don't.
-    MUTE_ANSWERS = 'muteAnswers'
+    #: Both directions are stalled; connections stay open.
+    STALL = 'silence'
+    #: Requests pass, responses are stalled.
+    STALL_RESPONSES = 'muteAnswers'
 
 
-#: Held-up bytes are looked at again this often.
-_LOOK_EVERY = 0.02
+#: Seconds between checks whether a stalled chunk may be sent.
+_STALL_POLL_INTERVAL = 0.02
 
 
 class Proxy:
-    """Passes connections on to a target that may change.
+    """Forwards connections to a target that may change.
 
     Parameters
     ----------
@@ -39,8 +39,8 @@
     """
 
     def __init__(self, target: Callable[[], tuple[str, int]]) -> None:
-        """Do no harm yet."""
-        self.harm = Harm.NONE
+        """Start without a fault."""
+        self.fault = LinkFault.NONE
         self.delay = 0.1
         self._target = target
         self._writers: set[asyncio.StreamWriter] = set()
@@ -48,14 +48,14 @@
 
     async def start(self, stack: AsyncExitStack, host: str, port: int) -> None:
         """Listen until the stack closes."""
-        server = await asyncio.start_server(self._pass_on, host, port)
+        server = await asyncio.start_server(self._forward, host, port)
         stack.callback(self.reset_all)
         stack.callback(server.close)
 
-    def set_harm(self, harm: Harm) -> None:
-        """Change what is done, to open connections as well."""
-        self.harm = harm
-        if harm is Harm.RESET:
+    def set_fault(self, link_fault: LinkFault) -> None:
+        """Change the fault, for open connections as well."""
+        self.fault = link_fault
+        if link_fault is LinkFault.RESET:
             self.reset_all()
 
     def reset_all(self) -> None:
@@ -63,16 +63,16 @@
         for writer in tuple(self._writers):
             _reset(writer)
 
-    def break_all(self) -> None:
-        """End every connection on both sides: the target is another process.
+    def abort_all(self) -> None:
+        """Abort every connection on both sides, as the target has restarted.
 
-        What was held up is lost; it can't reach the next one.
+        Stalled bytes are dropped, so that they can't reach the new target.
         """
         self.reset_all()
         for upstream in tuple(self._upstreams):
             upstream.transport.abort()
 
-    async def _pass_on(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
@@ -80,13 +80,15 @@
         self._writers.add(writer)
         upstream: asyncio.StreamWriter | None = None
         try:
-            if self.harm is Harm.RESET:
+            if self.fault is LinkFault.RESET:
                 return
-            back, upstream = await asyncio.open_connection(*self._target())
+            upstream_reader, upstream = await asyncio.open_connection(
+                *self._target()
+            )
             self._upstreams.add(upstream)
             await asyncio.gather(
-                self._copy(reader, upstream, answers=False),
-                self._copy(back, writer, answers=True),
+                self._copy(reader, upstream, is_response=False),
+                self._copy(upstream_reader, writer, is_response=True),
             )
         except OSError:
             pass
@@ -102,31 +104,31 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        answers: bool,
+        is_response: bool,
     ) -> None:
         while True:
-            piece = await reader.read(_CHUNK)
-            if not piece:
+            chunk = await reader.read(_CHUNK)
+            if not chunk:
                 writer.close()
                 raise ConnectionResetError
-            if self.harm is Harm.DELAY:
+            if self.fault is LinkFault.DELAY:
                 await asyncio.sleep(self.delay)
-            while self._holds_up(answers):
-                await asyncio.sleep(_LOOK_EVERY)
-            writer.write(piece)
+            while self._is_stalled(is_response):
+                await asyncio.sleep(_STALL_POLL_INTERVAL)
+            writer.write(chunk)
             await writer.drain()
 
-    def _holds_up(self, answers: bool) -> bool:
-        if self.harm is Harm.SILENCE:
+    def _is_stalled(self, is_response: bool) -> bool:
+        if self.fault is LinkFault.STALL:
             return True
-        return answers and self.harm is Harm.MUTE_ANSWERS
+        return is_response and self.fault is LinkFault.STALL_RESPONSES
 
 
 def _reset(writer: asyncio.StreamWriter) -> None:
-    """Close a connection so that its peer sees a reset."""
-    made: socket.socket | None = writer.get_extra_info('socket')
-    if made is not None:
+    """Close a connection with a TCP reset (`SO_LINGER` of 0 s)."""
+    connection: socket.socket | None = writer.get_extra_info('socket')
+    if connection is not None:
         linger = (1).to_bytes(4, 'little') + (0).to_bytes(4, 'little')
         with suppress(OSError):
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     writer.close()
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak."""
+"""One run of the soak test."""
 
 from __future__ import annotations
 
@@ -37,17 +37,18 @@
 _READY_PORT = 8167
 _ADVICE_PORT = 9300
 _WORKER_PORT, _WORKER_LINK_PORT = 9100, 9200
-_START_WITHIN = 15.0
-#: Jobs handed in beside faults, and in calm.
-_PER_SECOND, _PER_SECOND_IN_CALM = 6.0, 3.0
-_SETTLE = 40.0
-#: Seconds of calm in which all that could run is to run.
-_CALM = (14.0, 18.0)
-_LOOK_EVERY = 0.1
-#: Seconds at the end of the calm in which no more workers begin to fail.
-_SOUND_AT_END = 8.0
-#: Calm after which a machine is in touch, and time to apply a configuration.
-_IN_TOUCH, _APPLIES_WITHIN = 3.0, 3.0
+_START_TIMEOUT = 15.0
+#: Jobs submitted per second, under faults and in the fault-free phase.
+_JOBS_PER_SECOND, _FAULT_FREE_JOBS_PER_SECOND = 6.0, 3.0
+_SETTLE_TIMEOUT = 40.0
+#: Duration of the fault-free phase in seconds; all startable tasks run in it.
+_FAULT_FREE_SECONDS = (14.0, 18.0)
+_WATCH_INTERVAL = 0.1
+#: Seconds at the end of the fault-free phase in which no worker breaks.
+_NO_BREAKS_AT_END = 8.0
+#: Fault-free seconds after which an instance has reconnected to the store, and
+#: seconds in which it must apply a configuration.
+_RECONNECT_SECONDS, _APPLY_SECONDS = 3.0, 3.0
 _QUEUE = {
     'name': 'queue',
     'host': 'queue.example',
@@ -67,41 +68,42 @@
 
 
 class Outcome(NamedTuple):
-    """What a run showed."""
+    """Results of a run."""
 
-    broken: list[str]
+    violations: list[str]
     jobs: int
     accepted: int
     faults: Counter[str]
     endings: Counter[str]
     lasting: int
-    #: Ends `failed` of tasks that last.
+    #: Failed runs of long-running tasks.
     lasting_failures: int
-    #: Seconds that such a task was away at the most, with room, in calm.
-    longest_away: float
-    #: Failed runs of gangs, and seconds that a job waited at the most while
-    #: nothing of it ran, with room, in calm.
+    #: Longest interruption of such a task in seconds, with free capacity and
+    #: without faults.
+    longest_interruption: float
+    #: Failed runs of gangs, and the longest time in seconds without a running
+    #: task of a job, with free capacity and without faults.
     gang_failures: int
     longest_idle: float
 
 
 class Soak:
-    """The stand-ins, links and processes of one run.
+    """Stand-ins, proxied links and processes of one run.
 
     Parameters
     ----------
     seed : int
     slot : int
-        Number of the loopback network that is used, 1 to 200: runs side by
-        side need one each.
+        Second byte of the loopback network 127.`slot`.0.0; parallel runs need
+        different ones. The command line uses 1 to 200.
     folder : pathlib.Path
-        For settings files and logs.
+        Folder of settings files and logs.
     per_zone : int
         Number of processes in each of the three zones.
     crashing : bool
-        Whether some jobs crash workers, rooms shrink, workers keep their
-        names when they start again, others write entries, some jobs last, ask
-        for accelerators or need advice, and some jobs and workers fail.
+        Whether to vary jobs and faults: jobs crash workers, fail, are
+        long-running, request accelerators or need advice; workers fail, lose
+        capacity or restart under the same name; foreign entries are written.
     """
 
     def __init__(
@@ -113,13 +115,13 @@
         per_zone: int = 2,
         crashing: bool = False,
     ) -> None:
-        """Prepare; nothing is started yet."""
+        """Create the stand-ins and instances; nothing is started yet."""
         self._crashing = Random(f'crashing {seed}') if crashing else None
-        self._returns = Random(f'returns {seed}') if crashing else None
-        self._foreign = Random(f'foreign {seed}') if crashing else None
+        self._restarts = Random(f'returns {seed}') if crashing else None
+        self._foreign_entries = Random(f'foreign {seed}') if crashing else None
         self._lasting = Random(f'lasting {seed}') if crashing else None
-        self._broken = Random(f'broken {seed}') if crashing else None
-        self._kinds = Random(f'kinds {seed}') if crashing else None
+        self._breakage = Random(f'broken {seed}') if crashing else None
+        self._variants = Random(f'kinds {seed}') if crashing else None
         self._lasting_calls = Random(f'lasting calls {seed}')
         self.ledger = Ledger()
         self._tenants = Random(f'tenants {seed}')
@@ -157,7 +159,7 @@
             for number in range(_WORKERS)
         ]
         for worker, link in zip(self._workers, self._links, strict=True):
-            worker.on_crash = link.break_all
+            worker.on_crash = link.abort_all
         self._instances = [
             Instance(
                 f'instance-{zone}-{number}',
@@ -171,14 +173,14 @@
             for number in range(per_zone)
         ]
 
-    async def play(self, seconds: float, per_second: float) -> Outcome:
-        """Run faults for some seconds, then settle and judge."""
+    async def execute(self, seconds: float, per_second: float) -> Outcome:
+        """Inject faults for some seconds, then let jobs end and check."""
         async with AsyncExitStack() as stack:
             await self._open(stack)
             callers = self._make_callers(
                 self._random,
                 self._crashing,
-                self._kinds,
+                self._variants,
             )
             lasting = LastingCallers(
                 self._make_callers(self._lasting_calls),
@@ -193,77 +195,77 @@
                 self._workers,
                 self._links,
                 self._random,
-                self._returns,
+                self._restarts,
             )
-            watching = asyncio.create_task(self._look())
+            watching = asyncio.create_task(self._watch())
             stack.callback(watching.cancel)
             until = time.monotonic() + seconds
             await asyncio.gather(
                 callers.run(until + 2, per_second),
                 lasting.run(),
-                self._disturb(faults, callers, lasting, until),
+                self._run_faults(faults, callers, lasting, until),
             )
-            await callers.settle(_SETTLE)
+            await callers.wait_until_ended(_SETTLE_TIMEOUT)
             if self._operator.keys_by_tenant:
-                await self._take_keys_away(callers)
-            self.ledger.judge_end()
+                await self._revoke_keys(callers)
+            self.ledger.check_final_state()
             if watching.done():
                 watching.result()
-            return self._sum_up(faults, callers)
+            return self._summarize(faults, callers)
 
-    async def _disturb(
+    async def _run_faults(
         self,
         faults: Faults,
         callers: Callers,
         lasting: LastingCallers,
         until: float,
     ) -> None:
-        """Have faults act until a time of the steady clock, then be calm."""
+        """Inject faults until a monotonic time, then run without them."""
         await asyncio.gather(
             faults.run(until),
-            faults.shrink_rooms(until, self._crashing),
-            faults.write_entries(until, self._foreign),
-            faults.break_workers(until, self._broken),
-            self._operator.work(until),
+            faults.shrink_capacities(until, self._crashing),
+            faults.write_entries(until, self._foreign_entries),
+            faults.break_workers(until, self._breakage),
+            self._operator.apply_changes(until),
         )
         if self._lasting is not None:
-            calm = self._lasting.uniform(*_CALM)
-            await self._be_calm(faults, callers, calm)
-        lasting.leave()
+            fault_free_seconds = self._lasting.uniform(*_FAULT_FREE_SECONDS)
+            await self._run_fault_free(faults, callers, fault_free_seconds)
+        lasting.stop()
 
-    async def _be_calm(
+    async def _run_fault_free(
         self,
         faults: Faults,
         callers: Callers,
         seconds: float,
     ) -> None:
-        """Hand jobs in for a while without faults, once all are back.
+        """Submit jobs without faults, once all instances are ready.
 
-        Jobs and workers go on to fail: that is no fault of the platform's.
+        Jobs and workers still fail, as these are no faults of the platform.
         """
         try:
             await self._wait_until_ready()
         except TimeoutError as error:
-            self.ledger.breach('RECOVER', str(error))
-        self.ledger.calm_since = time.monotonic()
-        until = self.ledger.calm_since + seconds
+            self.ledger.report_violation('RECOVER', str(error))
+        self.ledger.fault_free_since = time.monotonic()
+        until = self.ledger.fault_free_since + seconds
         await asyncio.gather(
-            callers.run(until, _PER_SECOND_IN_CALM),
-            faults.break_workers(until - _SOUND_AT_END, self._broken),
+            callers.run(until, _FAULT_FREE_JOBS_PER_SECOND),
+            faults.break_workers(until - _NO_BREAKS_AT_END, self._breakage),
         )
 
-    async def _look(self) -> None:
+    async def _watch(self) -> None:
         while True:
             now = time.monotonic()
-            self._lasting_watch.look(now)
-            self._starvation_watch.look(now)
-            await asyncio.sleep(_LOOK_EVERY)
+            self._lasting_watch.check(now)
+            self._starvation_watch.check(now)
+            await asyncio.sleep(_WATCH_INTERVAL)
 
     def _make_callers(
         self,
         random: Random,
         crashing: Random | None = None,
-        kinds: Random | None = None,
+        variants: Random | None = None,
     ) -> Callers:
         return Callers(
             [instance.callers for instance in self._instances],
@@ -272,14 +274,14 @@
             crashing,
             self._operator,
             self._tenants,
-            kinds,
+            variants,
         )
 
-    def _sum_up(self, faults: Faults, callers: Callers) -> Outcome:
+    def _summarize(self, faults: Faults, callers: Callers) -> Outcome:
         jobs = self.ledger.job_by_id.values()
         lasting = [job for job in jobs if job.lasting]
         return Outcome(
-            self.ledger.broken,
+            self.ledger.violations,
             len(jobs),
             sum(job.accepted for job in jobs),
             faults.count,
@@ -291,18 +293,18 @@
             self._starvation_watch.timer.longest,
         )
 
-    async def _take_keys_away(self, callers: Callers) -> None:
-        """Take a tenant's keys away in calm; every machine must heed it."""
-        await asyncio.sleep(_IN_TOUCH)
-        taken = self._operator.take_all_keys('large')
-        await asyncio.sleep(_APPLIES_WITHIN)
-        await callers.check_keys(taken)
+    async def _revoke_keys(self, callers: Callers) -> None:
+        """Revoke a tenant's keys; every instance must apply it."""
+        await asyncio.sleep(_RECONNECT_SECONDS)
+        revoked = self._operator.revoke_all_keys('large')
+        await asyncio.sleep(_APPLY_SECONDS)
+        await callers.check_keys(revoked)
 
     def _worker_at(self, number: int) -> tuple[str, int]:
         return self._worker_host, _WORKER_PORT + number
 
     async def _open(self, stack: AsyncExitStack) -> None:
-        await self._refuse_a_network_in_use()
+        await self._reject_network_in_use()
         self._operator.write()
         host, port = self._store_at
         await serve(stack, self._store.serve, [listen(f'{host}:{port}')])
@@ -319,23 +321,23 @@
             link_port = _WORKER_LINK_PORT + number
             await link.start(stack, self._worker_host, link_port)
         for worker in self._workers:
-            stack.callback(asyncio.create_task(worker.work()).cancel)
+            stack.callback(asyncio.create_task(worker.run_tasks()).cancel)
         for instance in self._instances:
             await instance.open(stack)
 
-    async def _refuse_a_network_in_use(self) -> None:
-        """Refuse it, since those of another run would serve our callers.
+    async def _reject_network_in_use(self) -> None:
+        """Reject it: instances of another run would serve these callers.
 
         Raises
         ------
         RuntimeError
-            If somebody answers where a process is to be started.
+            If the address of an instance is already in use.
         """
         for instance in self._instances:
             host = instance.callers.partition(':')[0]
-            if await _listens(host):
+            if await _is_listening(host):
                 raise RuntimeError(
-                    f'{host!r} is in use by another run, expected nobody there'
+                    f'{host!r} is in use by another run, expected it free'
                 )
 
     async def _serve_worker(self, request: Request) -> Response:
@@ -343,17 +345,23 @@
         return await self._workers[port - _WORKER_PORT].serve(request)
 
     async def _wait_until_ready(self) -> None:
-        """Wait until every process answers; else the run proves nothing."""
-        until = time.monotonic() + _START_WITHIN
+        """Wait until every instance is ready.
+
+        Raises
+        ------
+        TimeoutError
+            If an instance isn't ready in time; the run would be void then.
+        """
+        until = time.monotonic() + _START_TIMEOUT
         for instance in self._instances:
             host = instance.callers.partition(':')[0]
-            while not await _answers(host):
+            while not await _is_ready(host):
                 if time.monotonic() > until:
                     raise TimeoutError(f'{host!r} did not become ready')
                 await asyncio.sleep(0.1)
 
 
-async def _listens(host: str) -> bool:
+async def _is_listening(host: str) -> bool:
     try:
         _, writer = await asyncio.open_connection(host, _READY_PORT)
     except OSError:
@@ -362,7 +370,7 @@
     return True
 
 
-async def _answers(host: str) -> bool:
+async def _is_ready(host: str) -> bool:
     try:
         reader, writer = await asyncio.open_connection(host, _READY_PORT)
     except OSError:
@@ -373,7 +381,7 @@
     return b' 200 ' in line
 
 
-def play(
+def run_seed(
     seed: int,
     slot: int = 1,
     seconds: float = 20,
@@ -382,7 +390,7 @@
     per_zone: int = 2,
     crashing: bool = True,
 ) -> Outcome:
-    """Play one seed; logs are kept in the folder `logs` if it is given."""
+    """Run one seed; logs are kept in the folder `logs` if it is given."""
     with tempfile.TemporaryDirectory() as scratch:
         folder = pathlib.Path(logs or scratch)
         folder.mkdir(parents=True, exist_ok=True)
@@ -393,4 +401,4 @@
             per_zone=per_zone,
             crashing=crashing,
         )
-        return asyncio.run(soak.play(seconds, _PER_SECOND))
+        return asyncio.run(soak.execute(seconds, _JOBS_PER_SECOND))
--- a/soak/store.py
+++ b/soak/store.py
@@ -11,14 +11,14 @@
 
 from blacksheep import Request, Response
 
-from soak.http import answer
+from soak.http import json_response
 
 _LENGTH = struct.Struct('>I')
 _POSITIONS = struct.Struct('>QQ')
 #: Seconds for which records stay readable; shorter than on the platform, so
-#: that readers that were away meet a gap.
-_KEPT = 8.0
-_PAGE = 50
+#: that readers that were disconnected find trimmed history.
+_RETENTION_SECONDS = 8.0
+_PAGE_SIZE = 50
 
 
 class _Record(NamedTuple):
@@ -37,21 +37,21 @@
 class _Topic:
     def __init__(self) -> None:
         self.records: list[_Record] = []
-        self.newest: dict[str, tuple[int, bytes]] = {}
+        self.latest_by_key: dict[str, tuple[int, bytes]] = {}
         self.first = 0
-        self.grown = asyncio.Event()
+        self.appended = asyncio.Event()
 
     def append(self, raw: bytes) -> None:
         record = _Record(time.monotonic(), raw)
-        self.newest.pop(record.key, None)
+        self.latest_by_key.pop(record.key, None)
         if record.value:
-            self.newest[record.key] = len(self.records), record.value
+            self.latest_by_key[record.key] = len(self.records), record.value
         self.records.append(record)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
 
-    def forget(self) -> None:
-        before = time.monotonic() - _KEPT
+    def trim(self) -> None:
+        before = time.monotonic() - _RETENTION_SECONDS
         while (
             self.first < len(self.records)
             and self.records[self.first].written_at < before
@@ -60,14 +60,14 @@
 
 
 class StoreStandIn:
-    """Answers the calls of `PROTOCOL` that the product makes."""
+    """Answers the store calls of `PROTOCOL` that instances make."""
 
     def __init__(self) -> None:
         """Start empty."""
         self._topic_by_name: dict[str, _Topic] = {}
 
     def put(self, name: str, key: str, value: bytes) -> None:
-        """Write a record as the operator or a worker does."""
+        """Write a record on behalf of the operator or a worker."""
         encoded = key.encode()
         self._topic(name).append(bytes((len(encoded),)) + encoded + value)
 
@@ -75,13 +75,13 @@
         """Answer one call."""
         query = {key: words[0] for key, words in request.query.items()}
         topic = self._topic(query['topic'])
-        topic.forget()
+        topic.trim()
         path = request.url.path.decode()
         if path == '/log-append':
             return self._append(topic, query, await request.read() or b'')
         if path == '/log-read':
             return await self._read(topic, query)
-        return self._newest(topic, query)
+        return self._list_latest(topic, query)
 
     def _topic(self, name: str) -> _Topic:
         return self._topic_by_name.setdefault(name, _Topic())
@@ -94,39 +94,39 @@
     ) -> Response:
         end = len(topic.records)
         if 'at' in query and int(query['at']) != end:
-            return answer(412, {'end': end})
+            return json_response(412, {'end': end})
         position = 0
         while position < len(body):
             length = _LENGTH.unpack_from(body, position)[0]
             position += _LENGTH.size
             topic.append(body[position : position + length])
             position += length
-        return answer(200, {'offset': end, 'end': len(topic.records)})
+        return json_response(200, {'offset': end, 'end': len(topic.records)})
 
     async def _read(self, topic: _Topic, query: dict[str, str]) -> Response:
         start = int(query['rangeStart'])
         if start < topic.first:
-            return answer(410, {'first': topic.first})
+            return json_response(410, {'first': topic.first})
         wait = int(query.get('waitMs', 0)) / 1000
         if start >= len(topic.records) and wait:
             with suppress(TimeoutError):
-                await asyncio.wait_for(topic.grown.wait(), wait)
+                await asyncio.wait_for(topic.appended.wait(), wait)
         parts = [_POSITIONS.pack(len(topic.records), topic.first)]
         for record in topic.records[start:]:
             parts += (_LENGTH.pack(len(record.raw)), record.raw)
-        return answer(200, b''.join(parts))
+        return json_response(200, b''.join(parts))
 
-    def _newest(self, topic: _Topic, query: dict[str, str]) -> Response:
+    def _list_latest(self, topic: _Topic, query: dict[str, str]) -> Response:
         after = query.get('afterRevision', '')
-        keys = sorted(key for key in topic.newest if key > after)
+        keys = sorted(key for key in topic.latest_by_key if key > after)
         listed = [
             {
                 'tlsKey': key,
-                'value': base64.b64encode(topic.newest[key][1]).decode(),
-                'offset': topic.newest[key][0],
+                'value': base64.b64encode(topic.latest_by_key[key][1]).decode(),
+                'offset': topic.latest_by_key[key][0],
             }
-            for key in keys[:_PAGE]
+            for key in keys[:_PAGE_SIZE]
         ]
-        more = len(keys) > _PAGE
+        more = len(keys) > _PAGE_SIZE
         end = len(topic.records)
-        return answer(200, {'items': listed, 'more': more, 'end': end})
+        return json_response(200, {'items': listed, 'more': more, 'end': end})
--- a/soak/system.py
+++ b/soak/system.py
@@ -1,4 +1,4 @@
-"""The real programs as processes, each behind proxies of its own."""
+"""Instances as real processes, each with its own proxy to the store."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 from soak.proxy import Proxy
 
-#: Linux: have this process killed when the one that started it ends.
+#: Linux `prctl` option: signal sent to a process when its parent ends.
 _PR_SET_PDEATHSIG = 1
-_CALLERS, _READY, _STORE = 8161, 8167, 9000
-_GRACE = 6
+_CALLERS_PORT, _READY_PORT, _STORE_PORT = 8161, 8167, 9000
+_GRACE_SECONDS = 6
 _SETTINGS = """nodeName={name}
 ip={host}
 zone={zone}
@@ -37,12 +37,12 @@
 
 
 def _end_with_parent() -> None:
-    """Run in the child: a soak that is killed leaves no process behind."""
+    """Run in the child, so that a killed soak leaves no process behind."""
     ctypes.CDLL(None).prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 class Instance:
-    """One process of the system, started again and again."""
+    """An instance, whose process is started repeatedly."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
         advice: str = '',
     ) -> None:
         """Start nothing yet."""
-        self.callers = f'{host}:{_CALLERS}'
+        self.callers = f'{host}:{_CALLERS_PORT}'
         self.store = Proxy(lambda: store)
         self._name = name
         self._advice = advice
@@ -64,34 +64,34 @@
         self._log = folder / f'{name}.log'
         self._process: asyncio.subprocess.Process | None = None
         self._salt = 0
-        #: Faults overlap; without it two of them might start a process each.
+        #: Faults overlap: two of them must not start a process each.
         self._starting = asyncio.Lock()
 
     async def open(self, stack: AsyncExitStack) -> None:
-        """Start the proxy and the process; the stack ends both."""
-        await self.store.start(stack, self._host, _STORE)
+        """Start the proxy and the process; the stack stops both."""
+        await self.store.start(stack, self._host, _STORE_PORT)
         self.write_settings()
         stack.push_async_callback(self.kill)
         await self.start()
 
     def write_settings(self) -> None:
-        """Write the settings file, each time a little different."""
+        """Write the settings file; its content differs each time."""
         self._salt += 1
         text = _SETTINGS.format(
             name=self._name,
             host=self._host,
             zone=self._zone,
-            callers=_CALLERS,
-            ready=_READY,
-            store=_STORE,
+            callers=_CALLERS_PORT,
+            ready=_READY_PORT,
+            store=_STORE_PORT,
             advice=self._advice,
-            grace=_GRACE,
+            grace=_GRACE_SECONDS,
             salt=self._salt,
         )
         self._settings.write_text(text)
 
     async def start(self) -> None:
-        """Start the process unless it runs."""
+        """Start the process unless it is running."""
         async with self._starting:
             if self._process is None or self._process.returncode is not None:
                 await self._spawn()
@@ -115,18 +115,18 @@
             process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process and wait for its end."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
         if self._process is not None:
             await self._process.wait()
 
     async def stop(self) -> None:
-        """Ask the process to stop; kill it after its grace."""
+        """Terminate the process; kill it after its grace period."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         assert self._process is not None
         try:
-            await asyncio.wait_for(self._process.wait(), _GRACE)
+            await asyncio.wait_for(self._process.wait(), _GRACE_SECONDS)
         except TimeoutError:
             await self.kill()
--- a/soak/tests/__init__.py
+++ b/soak/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the soak, and a short run of it."""
+"""Tests of the soak test, and a short run of it."""
--- a/soak/tests/test_advice.py
+++ b/soak/tests/test_advice.py
@@ -1,4 +1,4 @@
-"""Tests of the soak's advice: permits, tickets, one question at a time."""
+"""Tests of the advice stand-in: permits, tickets and queueing by lane."""
 
 from __future__ import annotations
 
@@ -6,55 +6,57 @@
 import time
 
 from orchidrail.testing import AsyncTestCase
-from soak.advice import MOST_WAITING, AdviceStandIn, ticket_holds
+from soak.advice import MAX_WAITING, AdviceStandIn, is_ticket_valid
 
 _STEP = f'{"a" * 16}.0.0'
-_MACHINES = 8
-_NAMES = [f'i-{number}' for number in range(_MACHINES)]
+_WORKERS = 8
+_NAMES = [f'i-{number}' for number in range(_WORKERS)]
 
 
 class AdviceTest(AsyncTestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.advice = AdviceStandIn(_MACHINES)
+        self.advice = AdviceStandIn(_WORKERS)
         for number, name in enumerate(_NAMES):
-            self.advice.number_by_name[name] = number
+            self.advice.index_by_name[name] = number
 
-    def test_half_of_the_machines_may_run_a_step(self) -> None:
-        good = self.run_async(self.advice.ask(1, _STEP, [*_NAMES, 'other']))
-        assert good is not None
+    def test_half_of_the_workers_may_run_a_step(self) -> None:
+        answered = self.run_async(
+            self.advice.decide(1, _STEP, [*_NAMES, 'other'])
+        )
+        assert answered is not None
         permitted = [
             name
             for number, name in enumerate(_NAMES)
             if self.advice.permits(_STEP, number)
         ]
-        self.assertEqual(_MACHINES // 2, len(permitted))
-        self.assertEqual(permitted, [name for name, _ in good])
-        for name, ticket in good:
-            self.assertTrue(ticket_holds(ticket, _STEP, name))
-            self.assertFalse(ticket_holds(ticket, _STEP, 'other'))
-
-    def test_questions_of_one_caller_wait_for_each_other(self) -> None:
-        async def ask(*lanes: int) -> float:
-            began = time.monotonic()
-            asked = (self.advice.ask(lane, _STEP, []) for lane in lanes)
-            await asyncio.gather(*asked)
-            return time.monotonic() - began
-
-        self.assertGreaterEqual(self.run_async(ask(1, 1)), 1)
-        self.assertLess(self.run_async(ask(1, 2)), 1)
-
-    def test_too_many_questions_of_one_caller(self) -> None:
-        async def ask_once_more() -> None:
+        self.assertEqual(_WORKERS // 2, len(permitted))
+        self.assertEqual(permitted, [name for name, _ in answered])
+        for name, ticket in answered:
+            self.assertTrue(is_ticket_valid(ticket, _STEP, name))
+            self.assertFalse(is_ticket_valid(ticket, _STEP, 'other'))
+
+    def test_requests_of_one_lane_are_answered_one_at_a_time(self) -> None:
+        async def measure(*lanes: int) -> float:
+            started_at = time.monotonic()
+            requests = (self.advice.decide(lane, _STEP, []) for lane in lanes)
+            await asyncio.gather(*requests)
+            return time.monotonic() - started_at
+
+        self.assertGreaterEqual(self.run_async(measure(1, 1)), 1)
+        self.assertLess(self.run_async(measure(1, 2)), 1)
+
+    def test_rejects_requests_beyond_the_queue_bound_of_a_lane(self) -> None:
+        async def exceed_the_bound() -> None:
             waiting = [
-                asyncio.create_task(self.advice.ask(1, _STEP, []))
-                for _ in range(MOST_WAITING)
+                asyncio.create_task(self.advice.decide(1, _STEP, []))
+                for _ in range(MAX_WAITING)
             ]
             await asyncio.sleep(0)
-            self.assertIsNone(await self.advice.ask(1, _STEP, []))
+            self.assertIsNone(await self.advice.decide(1, _STEP, []))
             for task in waiting:
                 task.cancel()
             await asyncio.wait(waiting)
-            self.assertEqual([], await self.advice.ask(1, _STEP, []))
+            self.assertEqual([], await self.advice.decide(1, _STEP, []))
 
-        self.run_async(ask_once_more())
+        self.run_async(exceed_the_bound())
--- a/soak/tests/test_soak.py
+++ b/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short run of the soak, and the seeds that once failed."""
+"""A short soak run, and regression runs of seeds that failed before."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from testtools import TestCase
 
-from soak.run import Outcome, play
+from soak.run import Outcome, run_seed
 
 _SEEDS = pathlib.Path(__file__).parents[1] / 'seeds.txt'
-_SHORT = 6
-#: Seconds of faults of a seed that once failed; the seed gives their order,
-#: real processes their timing.
-_AGAIN = 20
-#: Loopback networks that runs by hand don't use.
+_SHORT_SECONDS = 6
+#: Seconds of faults in a regression run; the seed determines the order of the
+#: faults, but the timing depends on real processes.
+_REGRESSION_SECONDS = 20
+#: Loopback networks that the command line doesn't use.
 _SLOT, _OTHER_SLOT = 201, 202
 
 
-def _failed_seeds() -> list[int]:
+def _regression_seeds() -> list[int]:
     lines = _SEEDS.read_text().splitlines()
     return [
         int(line.partition(' ')[0])
@@ -28,15 +28,17 @@
 
 class SoakTest(TestCase):
     def check(self, outcome: Outcome) -> None:
-        self.assertEqual([], outcome.broken)
+        self.assertEqual([], outcome.violations)
         self.assertGreater(outcome.accepted, 0)
         self.assertGreater(sum(outcome.faults.values()), 0)
 
-    def test_a_short_run_breaks_no_promise(self) -> None:
-        self.check(play(7, _SLOT, _SHORT))
+    def test_short_run_has_no_violations(self) -> None:
+        self.check(run_seed(7, _SLOT, _SHORT_SECONDS))
 
-    def test_seeds_that_once_failed_break_no_promise(self) -> None:
-        for seed in _failed_seeds():
+    def test_regression_seeds_have_no_violations(self) -> None:
+        for seed in _regression_seeds():
             with self.subTest(seed=seed):
-                outcome = play(seed, _OTHER_SLOT, _AGAIN, crashing=False)
+                outcome = run_seed(
+                    seed, _OTHER_SLOT, _REGRESSION_SECONDS, crashing=False
+                )
                 self.check(outcome)
--- a/soak/tests/test_system.py
+++ b/soak/tests/test_system.py
@@ -1,4 +1,4 @@
-"""Tests that the soak starts each program once and ends what it started."""
+"""Tests that the soak starts each process once and ends all of them."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from soak.system import Instance
 
 _HOST = '127.203.1.1'
-_ENDS_WITHIN = 5
-#: Starts one process as the soak does, tells its number, and waits.
+_END_TIMEOUT = 5
+#: Starts an instance as the soak does, prints its process id and waits.
 _PARENT = """
 import asyncio, pathlib, sys
 from soak.system import Instance
@@ -36,8 +36,8 @@
 """
 
 
-def _runs(pid: int) -> bool:
-    """Whether a process is there and is not just waiting to be collected."""
+def _is_running(pid: int) -> bool:
+    """Whether a process exists and is not a zombie."""
     try:
         status = pathlib.Path(f'/proc/{pid}/stat').read_text()
     except OSError:
@@ -46,30 +46,30 @@
 
 
 class InstanceTest(AsyncTestCase):
-    def test_faults_that_overlap_start_one_process(self) -> None:
-        async def scene(folder: pathlib.Path) -> None:
+    def test_overlapping_faults_start_one_process(self) -> None:
+        async def scenario(folder: pathlib.Path) -> None:
             instance = Instance('a', 'z', _HOST, folder, (_HOST, 9001))
             async with AsyncExitStack() as stack:
                 await instance.open(stack)
                 await instance.kill()
-                before = len(spawned)
+                before = len(processes)
                 await asyncio.gather(instance.start(), instance.start())
-                self.assertEqual(before + 1, len(spawned))
-            self.assertTrue(all(one.returncode for one in spawned))
+                self.assertEqual(before + 1, len(processes))
+            self.assertTrue(all(spawned.returncode for spawned in processes))
 
-        spawned: list[asyncio.subprocess.Process] = []
+        processes: list[asyncio.subprocess.Process] = []
         create = asyncio.create_subprocess_exec
 
-        async def note(*words: str, **options: object) -> object:
+        async def record_process(*words: str, **options: object) -> object:
             process = await create(*words, **options)  # type: ignore[arg-type]
-            spawned.append(process)
+            processes.append(process)
             return process
 
-        self.patch(asyncio, 'create_subprocess_exec', note)
+        self.patch(asyncio, 'create_subprocess_exec', record_process)
         with tempfile.TemporaryDirectory() as folder:
-            self.run_async(scene(pathlib.Path(folder)))
+            self.run_async(scenario(pathlib.Path(folder)))
 
-    def test_a_process_ends_with_a_soak_that_is_killed(self) -> None:
+    def test_process_ends_when_its_soak_is_killed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             parent = subprocess.Popen(
                 [sys.executable, '-c', _PARENT, folder],
@@ -80,26 +80,26 @@
             assert parent.stdout is not None
             pid = int(parent.stdout.readline())
             parent.stdout.close()
-            self.assertTrue(_runs(pid))
+            self.assertTrue(_is_running(pid))
             os.kill(parent.pid, signal.SIGKILL)
-            until = time.monotonic() + _ENDS_WITHIN
-            while _runs(pid) and time.monotonic() < until:
+            until = time.monotonic() + _END_TIMEOUT
+            while _is_running(pid) and time.monotonic() < until:
                 time.sleep(0.05)
-            self.assertFalse(_runs(pid))
+            self.assertFalse(_is_running(pid))
 
-    def test_a_network_in_use_is_refused(self) -> None:
-        async def scene(folder: pathlib.Path) -> None:
+    def test_rejects_a_network_in_use(self) -> None:
+        async def scenario(folder: pathlib.Path) -> None:
             soak = Soak(1, 205, folder)
             bound = listen('127.205.2.1:8167')
             bound.listen()
             try:
-                await soak.play(1, 1)
+                await soak.execute(1, 1)
             except RuntimeError as error:
                 self.assertIn('127.205.2.1', str(error))
             else:
-                self.fail('a network in use was taken')
+                self.fail('a network in use was accepted')
             finally:
                 bound.close()
 
         with tempfile.TemporaryDirectory() as folder:
-            self.run_async(scene(pathlib.Path(folder)))
+            self.run_async(scenario(pathlib.Path(folder)))
--- a/soak/tests/test_workers.py
+++ b/soak/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""Tests that the soak's workers fail and last as they are told to."""
+"""Tests of the worker stand-ins: failures, capacity and tickets."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 _JOB = 'a' * 16
 _RUNS = 400
-_LONG_ENOUGH = 100.0
+_LONG_SECONDS = 100.0
 
 
 class WorkerTest(TestCase):
     def start(self, step: dict[str, Any], runs: int = 1) -> None:
-        """Start the tasks of a step, each with processor time of its own."""
+        """Start the tasks of a step, with little CPU each so that all fit."""
         self.ledger = Ledger()
         self.worker = WorkerStandIn(
             0,
@@ -40,74 +40,84 @@
             order = {'taskId': task, 'runId': 1, 'spec': 'text'}
             deadline = self.worker._clock_ms() + 1000
             self.worker._start({**order, 'deadlineMs': deadline})
-        self.worker._lease_ends = time.monotonic() + 2 * _LONG_ENOUGH
+        self.worker._lease_ends = time.monotonic() + 2 * _LONG_SECONDS
 
-    def pass_time(self) -> list[str]:
-        """Let much time pass; return how runs ended."""
-        self.worker._advance(_LONG_ENOUGH, time.monotonic() + _LONG_ENOUGH)
-        return [how for _, _, _, how, _ in self.worker._ended]
+    def advance_far(self) -> list[str]:
+        """Advance far in time; return the endings of runs."""
+        self.worker._advance(_LONG_SECONDS, time.monotonic() + _LONG_SECONDS)
+        return [ending for _, _, _, ending, _ in self.worker._ended]
 
-    def test_a_tenth_of_the_runs_that_last_fails(self) -> None:
+    def test_a_tenth_of_long_running_runs_fails(self) -> None:
         self.start({'longRunning': True}, _RUNS)
-        endings = self.pass_time()
+        endings = self.advance_far()
         self.assertEqual({'failed'}, set(endings))
         self.assertAlmostEqual(0.1, len(endings) / _RUNS, delta=0.04)
 
-    def test_the_other_runs_end_as_done(self) -> None:
+    def test_other_runs_complete(self) -> None:
         self.start({}, _RUNS)
-        self.assertEqual({'done'}, set(self.pass_time()))
+        self.assertEqual({'done'}, set(self.advance_far()))
 
-    def test_a_broken_worker_fails_all_that_it_starts(self) -> None:
+    def test_broken_worker_fails_all_runs(self) -> None:
         self.start({'broken': True}, _RUNS)
-        self.assertEqual(['failed'] * _RUNS, self.pass_time())
+        self.assertEqual(['failed'] * _RUNS, self.advance_far())
 
-    def test_runs_of_a_hopeless_job_fail(self) -> None:
+    def test_runs_of_an_always_failing_job_fail(self) -> None:
         self.start({'failing': Failing.ALWAYS}, _RUNS)
-        self.assertEqual(['failed'] * _RUNS, self.pass_time())
+        self.assertEqual(['failed'] * _RUNS, self.advance_far())
 
-    def test_a_run_that_is_to_fail_is_not_done_before(self) -> None:
+    def test_run_that_will_fail_does_not_complete_before(self) -> None:
         self.start({'failing': Failing.ALWAYS}, _RUNS)
-        self.worker._advance(_LONG_ENOUGH, time.monotonic() - 1)
+        self.worker._advance(_LONG_SECONDS, time.monotonic() - 1)
         self.assertEqual([], self.worker._ended)
-        self.assertEqual(['failed'] * _RUNS, self.pass_time())
+        self.assertEqual(['failed'] * _RUNS, self.advance_far())
 
     def test_some_runs_of_an_ordinary_job_fail(self) -> None:
         self.start({'failing': Failing.SOMETIMES}, _RUNS)
-        endings = self.pass_time()
+        endings = self.advance_far()
         share = endings.count('failed') / _RUNS
         self.assertAlmostEqual(0.1, share, delta=0.04)
         self.assertEqual({'failed', 'done'}, set(endings))
 
-    def test_room_is_what_runs_copies_and_labels_leave(self) -> None:
+    def test_capacity_considers_runs_copies_and_labels(self) -> None:
         self.start({'cpu': 5000, 'antiAffinity': 3}, 2)
         key = f'{_JOB}.0.0'
         step = {'cpu': 1000}
-        self.assertEqual(6, self.worker.rooms_for('b.0.0', step))
-        self.assertEqual(6, self.worker.rooms_for(key, step))
+        self.assertEqual(6, self.worker.max_additional_tasks('b.0.0', step))
+        self.assertEqual(6, self.worker.max_additional_tasks(key, step))
         step['antiAffinity'] = 3
-        self.assertEqual(1, self.worker.rooms_for(key, step))
+        self.assertEqual(1, self.worker.max_additional_tasks(key, step))
         elsewhere = step | {'requirements': 'r-1'}
-        self.assertEqual(0, self.worker.rooms_for(key, elsewhere))
-
-    def test_each_kind_of_room_counts(self) -> None:
-        for kind, whole in (('cpu', 16_000), ('memMb', 64_000), ('gpu', 4)):
+        self.assertEqual(0, self.worker.max_additional_tasks(key, elsewhere))
+
+    def test_each_resource_counts(self) -> None:
+        for kind, full_amount in (
+            ('cpu', 16_000),
+            ('memMb', 64_000),
+            ('gpu', 4),
+        ):
             with self.subTest(kind=kind):
-                step = {'cpu': 0, kind: whole}
+                step = {'cpu': 0, kind: full_amount}
                 self.start(step)
-                self.assertEqual([], self.ledger.broken)
-                rooms = self.worker.rooms_for('b.0.0', {kind: 1})
-                self.assertEqual(0, rooms)
+                self.assertEqual([], self.ledger.violations)
+                additional_tasks = self.worker.max_additional_tasks(
+                    'b.0.0', {kind: 1}
+                )
+                self.assertEqual(0, additional_tasks)
                 self.start(step, 2)
-                self.assertEqual(1, len(self.ledger.broken))
-                self.assertIn('LIMIT', self.ledger.broken[0])
+                self.assertEqual(1, len(self.ledger.violations))
+                self.assertIn('LIMIT', self.ledger.violations[0])
 
-    def test_what_is_being_stopped_still_takes_room(self) -> None:
+    def test_stopping_run_still_uses_capacity(self) -> None:
         self.start({'gpu': 3})
         order = {'taskId': f'{_JOB}.0.0.0', 'runId': 1}
         self.worker._stop(order)
-        self.assertEqual(1, self.worker.rooms_for('b.0.0', {'gpu': 1}))
-        self.pass_time()
-        self.assertEqual(4, self.worker.rooms_for('b.0.0', {'gpu': 1}))
+        self.assertEqual(
+            1, self.worker.max_additional_tasks('b.0.0', {'gpu': 1})
+        )
+        self.advance_far()
+        self.assertEqual(
+            4, self.worker.max_additional_tasks('b.0.0', {'gpu': 1})
+        )
 
     def test_some_workers_have_no_accelerators(self) -> None:
         workers = [
@@ -125,35 +135,37 @@
         self.assertEqual([4, 4, 4, 0, 4, 4, 4, 0], counts)
 
     def order(self, ticket: str) -> int:
-        """Order a start with a ticket; return the status."""
+        """Request a start with a ticket; return the status."""
         deadline = self.worker._clock_ms() + 1000
         order = {'taskId': f'{_JOB}.0.0.0', 'runId': 2, 'deadlineMs': deadline}
         return self.worker._start(
             {**order, 'spec': 'text', 'ticket': ticket}
         ).status
 
-    def test_a_start_needs_a_ticket_where_there_is_advice(self) -> None:
+    def test_advised_job_needs_a_valid_ticket(self) -> None:
         self.start({})
-        self.pass_time()
+        self.advance_far()
         self.ledger.job_by_id[_JOB].advised = True
         step_key, name = f'{_JOB}.0.0', self.worker.name
         ticket = make_ticket(step_key, name)
-        late = f'{step_key} {name} {time.monotonic() - 0.1}'
-        for wrong in ('', make_ticket(step_key, 'w'), late):
+        expired = f'{step_key} {name} {time.monotonic() - 0.1}'
+        for wrong in ('', make_ticket(step_key, 'w'), expired):
             self.assertEqual(409, self.order(wrong))
         self.assertEqual(200, self.order(ticket))
 
-    def test_there_is_room_where_a_step_is_permitted(self) -> None:
+    def test_only_permitted_workers_have_capacity(self) -> None:
         self.start({})
         self.ledger.job_by_id[_JOB].advised = True
         keys = [f'{_JOB}.0.{number}' for number in range(_RUNS)]
-        rooms = [self.worker.rooms_for(key, {'gpu': 4}) for key in keys]
+        additional_tasks = [
+            self.worker.max_additional_tasks(key, {'gpu': 4}) for key in keys
+        ]
         permits = [self.worker._advice.permits(key, 0) for key in keys]
-        self.assertEqual(permits, [bool(room) for room in rooms])
+        self.assertEqual(permits, [bool(room) for room in additional_tasks])
         self.assertAlmostEqual(0.5, sum(permits) / _RUNS, delta=0.1)
 
-    def test_a_start_past_its_copies_or_without_its_label(self) -> None:
+    def test_start_over_max_copies_or_without_label(self) -> None:
         self.start({'antiAffinity': 1}, 2)
-        self.assertIn('ROUTE', self.ledger.broken[0])
+        self.assertIn('ROUTE', self.ledger.violations[0])
         self.start({'requirements': 'r-1'})
-        self.assertIn('ROUTE', self.ledger.broken[0])
+        self.assertIn('ROUTE', self.ledger.violations[0])
--- a/soak/watch.py
+++ b/soak/watch.py
@@ -1,46 +1,46 @@
-"""Whether tasks that last are at work, and cancelled ones gone.
+"""Checks that long-running tasks run, and that cancelled tasks stop.
 
-It goes by what the workers saw, and by how much room they have.
+The checks use what runs on the workers and their free capacity.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-from soak.ledger import CANCEL_WITHIN, Ledger, SentJob
-from soak.rooms import RoomyWorker, count_rooms
+from soak.capacity import WorkerCapacity, count_additional_tasks
+from soak.ledger import CANCEL_TIMEOUT, Ledger, SentJob
 
-#: Seconds for which a task that lasts may be away after its last run.
-MOST_AWAY = 6.0
-#: Seconds for which there must be room for it then.
-ROOM_FOR = 3.0
-#: Room for a task must be there as many times.
-TIMES_OVER = 2
-#: Seconds that a stop may take.
-STOP_WITHIN = 0.2
-#: Seconds of calm in which a cancel is to be acknowledged.
-_ACKNOWLEDGED_WITHIN = 4.0
+#: Seconds for which a long-running task may be interrupted.
+MAX_INTERRUPTION_SECONDS = 6.0
+#: Seconds for which capacity must be free before a wait is a violation.
+MIN_CAPACITY_SECONDS = 3.0
+#: A task counts as startable if this many of it would fit.
+CAPACITY_FACTOR = 2
+#: Maximum duration of a stop in seconds.
+STOP_TIMEOUT = 0.2
+#: Fault-free seconds in which a cancel must be acknowledged.
+_ACKNOWLEDGEMENT_TIMEOUT = 4.0
 
 
 class WaitTimer:
-    """Times what waits though there is room for it.
+    """Times how long tasks or jobs wait though there is capacity for them.
 
     Parameters
     ----------
     allowed : float
-        Seconds that it may wait before that counts.
+        Seconds of waiting that are permitted.
 
     Attributes
     ----------
     longest : float
-        The longest time that something waited with room on end, in seconds.
+        Longest uninterrupted wait with free capacity, in seconds.
     """
 
     def __init__(self, allowed: float = 0) -> None:
-        """Start with nothing seen."""
+        """Start without observations."""
         self.longest: float = 0
         self._allowed = allowed
-        self._room_since_by_key: dict[str, float] = {}
+        self._capacity_since_by_key: dict[str, float] = {}
 
     def overdue_for(
         self,
@@ -48,102 +48,114 @@
         since: float | None,
         now: float,
         *,
-        roomy: bool,
+        has_capacity: bool,
     ) -> float:
-        """Return for how long something has waited, 0 unless for too long.
+        """Return the duration of a wait in seconds, 0 unless overdue.
 
         Parameters
         ----------
         key : str
         since : float or None
-            When its wait began, None if it doesn't wait.
+            Start of the wait, None if there is none.
         now : float
-        roomy : bool
-            Whether there is room for it now.
+        has_capacity : bool
+            Whether there is free capacity for it now.
         """
-        if since is None or not roomy:
-            self._room_since_by_key.pop(key, None)
+        if since is None or not has_capacity:
+            self._capacity_since_by_key.pop(key, None)
             return 0
-        room_since = self._room_since_by_key.setdefault(key, now)
-        with_room = now - max(room_since, since)
-        self.longest = max(self.longest, with_room)
+        capacity_since = self._capacity_since_by_key.setdefault(key, now)
+        with_capacity = now - max(capacity_since, since)
+        self.longest = max(self.longest, with_capacity)
         waited = now - since
-        overdue = with_room > ROOM_FOR and waited > self._allowed + ROOM_FOR
+        overdue = (
+            with_capacity > MIN_CAPACITY_SECONDS
+            and waited > self._allowed + MIN_CAPACITY_SECONDS
+        )
         return waited if overdue else 0
 
 
 class LastingWatch:
-    """Looks at the tasks that last, again and again.
+    """Checks long-running tasks and cancelled jobs periodically.
 
     Parameters
     ----------
     ledger : Ledger
-    workers : sequence of RoomyWorker
+    workers : sequence of WorkerCapacity
 
     Attributes
     ----------
     timer : WaitTimer
-        Times how long tasks are away with room for them in calm.
+        Times interruptions with free capacity and without faults.
     """
 
     def __init__(
         self,
         ledger: Ledger,
-        workers: Sequence[RoomyWorker],
+        workers: Sequence[WorkerCapacity],
     ) -> None:
-        """Start with nothing seen."""
-        self.timer = WaitTimer(MOST_AWAY)
+        """Start without observations."""
+        self.timer = WaitTimer(MAX_INTERRUPTION_SECONDS)
         self._ledger = ledger
         self._workers = workers
-        self._told: set[str] = set()
+        self._reported: set[str] = set()
 
-    def look(self, now: float) -> None:
-        """Judge what runs now, at a time of the steady clock."""
+    def check(self, now: float) -> None:
+        """Check what runs now, at a time of the monotonic clock."""
         for job in self._ledger.job_by_id.values():
             if job.lasting and job.accepted and not job.cancel_sent:
-                self._look_for_absent(job, now)
-            elif job.cancel_sent and self._ledger.calm_since is not None:
-                self._look_for_remains(job, now, self._ledger.calm_since)
+                self._check_interruptions(job, now)
+            elif job.cancel_sent and self._ledger.fault_free_since is not None:
+                self._check_lingering_runs(
+                    job, now, self._ledger.fault_free_since
+                )
 
-    def _look_for_absent(self, job: SentJob, now: float) -> None:
+    def _check_interruptions(self, job: SentJob, now: float) -> None:
         for task in job.tasks:
-            since = self._ledger.away_since(task)
+            since = self._ledger.interrupted_since(task)
             if since is None:
-                self._told.discard(task)
-            roomy = since is not None and self._roomy(job, task, now)
-            waited = self.timer.overdue_for(task, since, now, roomy=roomy)
+                self._reported.discard(task)
+            has_capacity = since is not None and self._has_capacity(
+                job, task, now
+            )
+            waited = self.timer.overdue_for(
+                task, since, now, has_capacity=has_capacity
+            )
             if waited:
                 starts = self._ledger.task_by_key[task].starts
-                detail = f'away for {waited:.1f} s after {starts} starts'
-                self._tell('LOST', task, detail)
+                detail = f'not running for {waited:.1f} s after {starts} starts'
+                self._report('LOST', task, detail)
 
-    def _roomy(self, job: SentJob, task: str, now: float) -> bool:
-        """Whether it is calm and there is room for a task twice over."""
-        if not self._ledger.is_calm(now):
+    def _has_capacity(self, job: SentJob, task: str, now: float) -> bool:
+        """Whether, without faults, `CAPACITY_FACTOR` such tasks would fit."""
+        if not self._ledger.is_fault_free(now):
             return False
         step_key, step = task.rpartition('.')[0], job.step_of(task)
-        return count_rooms(self._workers, step_key, step) >= TIMES_OVER
+        return (
+            count_additional_tasks(self._workers, step_key, step)
+            >= CAPACITY_FACTOR
+        )
 
-    def _look_for_remains(
+    def _check_lingering_runs(
         self,
         job: SentJob,
         now: float,
-        calm_since: float,
+        fault_free_since: float,
     ) -> None:
         since = job.cancelled_at
         if since is None and job.lasting and job.accepted:
-            sent_at = max(job.cancel_sent_at or now, calm_since)
-            since = sent_at + _ACKNOWLEDGED_WITHIN
+            sent_at = max(job.cancel_sent_at or now, fault_free_since)
+            since = sent_at + _ACKNOWLEDGEMENT_TIMEOUT
         if since is None:
             return
-        gone_at = max(since, calm_since) + CANCEL_WITHIN + STOP_WITHIN
+        gone_at = max(since, fault_free_since) + CANCEL_TIMEOUT + STOP_TIMEOUT
         for task in job.tasks:
             running = self._ledger.task_by_key[task].running
             if running and now > gone_at:
                 detail = f'runs on {sorted(running)} after its cancel'
-                self._tell('UNASKED', task, detail)
+                self._report('UNASKED', task, detail)
 
-    def _tell(self, rule: str, task: str, detail: str) -> None:
-        if task not in self._told:
-            self._told.add(task)
-            self._ledger.breach(rule, f'{task} {detail}')
+    def _report(self, rule: str, task: str, detail: str) -> None:
+        if task not in self._reported:
+            self._reported.add(task)
+            self._ledger.report_violation(rule, f'{task} {detail}')
--- a/soak/workers.py
+++ b/soak/workers.py
@@ -1,4 +1,8 @@
-"""Stand-ins for workers: leases, fences, run numbers, ends until noted."""
+"""Stand-ins for workers.
+
+They implement leases, fencing tokens and run numbers, and report ended runs
+until these are acknowledged.
+"""
 
 from __future__ import annotations
 
@@ -16,82 +20,84 @@
 from blacksheep import Request, Response
 
 from orchidrail.work.size import Size
-from soak.advice import AdviceStandIn, ticket_holds
+from soak.advice import AdviceStandIn, is_ticket_valid
+from soak.capacity import size_of
 from soak.gangs import GangRun, Gangs, GangState
-from soak.http import answer
+from soak.http import json_response
 from soak.ledger import Failing, Ledger, SentJob
-from soak.rooms import size_of
 from soak.store import StoreStandIn
 
-_LIFE = b'X-Orchidrail-Expect-Instance'
+_EXPECTED_INSTANCE_HEADER = b'X-Orchidrail-Expect-Instance'
 _TICK = 0.02
-_MOST_HOLD = 6.0
-_STOP_TAKES = 0.2
+_MAX_LEASE_SECONDS = 6.0
+_STOP_DURATION = 0.2
 _GANG_WAIT = 3.0
-_DRAINS_FOR = 2.0
-#: From the start of a task to the crash that it causes.
-_CRASHES_AFTER = 0.01
-#: Room that shrank counts after the time of being in touch and a heartbeat.
-_ROOM_HEARD_WITHIN = 4.5
-#: An entry goes after three heartbeats of 1.5 s.
-_ENTRY_LAPSES = 4.5
-#: Milliseconds by which each life seems to have begun before the last one.
-_BORN_BACK = 60_000
-#: Share of the runs that fail, and seconds within which those that last do.
+_DRAIN_DURATION = 2.0
+#: Seconds from the start of a task to the crash that it causes.
+_CRASH_DELAY = 0.01
+#: Seconds until a reduced capacity is enforced: the time in which instances
+#: reconnect, and a heartbeat.
+_CAPACITY_PROPAGATION_SECONDS = 4.5
+#: Seconds until an entry expires: three heartbeats of 1.5 s.
+_ENTRY_TIMEOUT = 4.5
+#: Milliseconds by which the start time of each incarnation precedes that of the
+#: previous one.
+_BIRTH_STEP_BACK_MS = 60_000
+#: Share of the runs that fail, and seconds within which long-running ones do.
 _FAILING_SHARES = {
     Failing.NEVER: 0.0,
     Failing.SOMETIMES: 0.1,
     Failing.ALWAYS: 1.0,
 }
-_FAILS_WITHIN = 12.0
-#: Seconds until a broken worker fails what it started.
-_BREAKS_AFTER = 0.05
-_WHOLE = 100
+_LASTING_FAILURE_WINDOW = 12.0
+#: Seconds until a broken worker fails a run.
+_BROKEN_WORKER_DELAY = 0.05
+_PERCENT = 100
 _CAPACITY = Size(16_000, 64_000, 4)
-#: Each worker of so many has no accelerators.
-_WITHOUT_ACCELERATORS = 4
-_lives = itertools.count(1)
+#: One in this many workers has no accelerators.
+_CPU_ONLY_INTERVAL = 4
+_incarnation_numbers = itertools.count(1)
 
 
 @dataclass
 class _Run:
-    left: float
+    remaining: float
     size: Size
     gang: GangRun
-    present_at: float
-    #: Whether it runs until it is stopped; `left` is then that of its start.
-    lasts: bool
+    joined_at: float
+    #: Whether it runs until stopped; `remaining` is then its startup time.
+    lasting: bool
     fails_at: float
     stops_at: float | None = None
 
     @property
     def percent(self) -> int:
-        """How much of it is done, or whether one that lasts is at work."""
-        if self.lasts:
-            return _WHOLE if self.left <= 0 else 0
-        return int(_WHOLE / (1 + _WHOLE * max(0, self.left)))
+        """Progress; for a long-running task 100 once it has started up."""
+        if self.lasting:
+            return _PERCENT if self.remaining <= 0 else 0
+        return int(_PERCENT / (1 + _PERCENT * max(0, self.remaining)))
 
-    def advance(self, passed: float, now: float) -> str:
-        """Let time pass; return how it ends, empty while it goes on."""
+    def advance(self, elapsed: float, now: float) -> str:
+        """Advance the run; return its ending, empty while it runs."""
         if self.stops_at is not None and now > self.stops_at:
             return 'stopped'
         if now > self.fails_at:
             return 'failed'
-        return _ADVANCE_BY_STATE[self.gang.state](self, passed, now)
+        return _ADVANCE_BY_STATE[self.gang.state](self, elapsed, now)
 
-    def _gather(self, passed: float, now: float) -> str:
-        return 'alone' if now - self.present_at > _GANG_WAIT else ''
+    def _gather(self, elapsed: float, now: float) -> str:
+        return 'alone' if now - self.joined_at > _GANG_WAIT else ''
 
-    def _work(self, passed: float, now: float) -> str:
-        self.left -= passed
-        # Time passes in ticks, which may take it past both its ends at once.
-        succeeds = not self.lasts and math.isinf(self.fails_at)
-        return 'done' if self.left <= 0 and succeeds else ''
+    def _work(self, elapsed: float, now: float) -> str:
+        self.remaining -= elapsed
+        # A single tick may pass both its completion and its failure time.
+        succeeds = not self.lasting and math.isinf(self.fails_at)
+        return 'done' if self.remaining <= 0 and succeeds else ''
 
-    def _finish(self, passed: float, now: float) -> str:
+    def _finish(self, elapsed: float, now: float) -> str:
         return 'done'
 
-    def _break(self, passed: float, now: float) -> str:
+    def _break(self, elapsed: float, now: float) -> str:
         return 'broken'
 
 
@@ -104,7 +110,7 @@
 
 
 class WorkerStandIn:
-    """One machine of the service, life after life."""
+    """A worker of the service, through all its incarnations."""
 
     def __init__(
         self,
@@ -116,46 +122,48 @@
         advice: AdviceStandIn,
         seed: int = 0,
     ) -> None:
-        """Start the first life."""
+        """Start the first incarnation."""
         self.address = address
-        accelerators = (number + 1) % _WITHOUT_ACCELERATORS > 0
+        accelerators = (number + 1) % _CPU_ONLY_INTERVAL > 0
         self.capacity = (
             _CAPACITY if accelerators else _CAPACITY._replace(accelerators=0)
         )
-        #: What starts may use: room that shrinks counts a while later.
-        self._judged_capacity = self.capacity
+        #: Limit for starts; follows a reduction of `capacity` with a delay.
+        self._enforced_capacity = self.capacity
         self._labels = 'kind', f'r-{number % 2}'
         self._seed = seed
         self._store = store
         self._ledger = ledger
         self._gangs = gangs
         self._advice = advice
-        self._machine = number
-        #: Told of each crash, which ends all connections.
-        self.on_crash: Callable[[], None] = _nothing
-        self.begin_life()
-
-    def begin_life(self, *, keeps_name: bool = False) -> None:
-        """Forget everything, under a new name or the one before."""
-        self.number = next(_lives)
+        self._index = number
+        #: Called on each crash, to abort all connections.
+        self.on_crash: Callable[[], None] = _do_nothing
+        self.begin_incarnation()
+
+    def begin_incarnation(self, *, keeps_name: bool = False) -> None:
+        """Reset all state, under a new name or the previous one."""
+        self.incarnation = next(_incarnation_numbers)
         if not keeps_name:
-            self.name = f'i-{self.number:06d}'
-            self._advice.number_by_name[self.name] = self._machine
-        #: Not in order: the time of day may have jumped in between.
-        self.born = int(time.time() * 1000) - self.number * _BORN_BACK
+            self.name = f'i-{self.incarnation:06d}'
+            self._advice.index_by_name[self.name] = self._index
+        #: Decreases, as after a jump of the wall clock: it gives no order.
+        self.born = (
+            int(time.time() * 1000) - self.incarnation * _BIRTH_STEP_BACK_MS
+        )
         self._clock_begins = time.monotonic()
         self._fence = 0
         self._run_by_key: dict[tuple[str, int], _Run] = {}
         self._newest_ended: dict[str, int] = {}
         self._ended: list[list[Any]] = []
-        self._numbers = itertools.count(1)
+        self._ended_numbers = itertools.count(1)
         self._lease_ends = 0.0
         self._broken_until = 0.0
-        self._ended_some = asyncio.Event()
-        self.enter('ready')
+        self._run_ended = asyncio.Event()
+        self.write_entry('ready')
 
-    def enter(self, state: str, remaining_ms: int = 0) -> None:
-        """Write this life's entry."""
+    def write_entry(self, state: str, remaining_ms: int = 0) -> None:
+        """Write the entry of this incarnation."""
         entry = {
             'service': 'service',
             'address': self.address,
@@ -170,60 +178,62 @@
             },
             'labels': self._labels,
             'remainingMs': remaining_ms,
-            'sequence': self.number,
+            'sequence': self.incarnation,
             'born': self.born,
         }
         raw = json.dumps(entry).encode()
         self._store.put('keyed.servers', self.name, raw)
 
     def overwrite_entry(self, raw: bytes, name: str = '') -> None:
-        """Have somebody else write an entry, over this worker's or beside."""
+        """Write a foreign entry, over this worker's or under another name."""
         self._store.put('keyed.servers', name or self.name, raw)
 
     def crash(self, *, keeps_name: bool = False) -> None:
-        """Lose everything and be back at once; an old entry lapses later."""
+        """Lose all runs and restart at once; an old entry expires later."""
         for key, run in list(self._run_by_key.items()):
             self._remove(key, run, 'crashed')
         if not keeps_name:
             loop = asyncio.get_running_loop()
-            loop.call_later(_ENTRY_LAPSES, self._leave, self.name)
+            loop.call_later(_ENTRY_TIMEOUT, self._delete_entry, self.name)
         self.on_crash()
-        self.begin_life(keeps_name=keeps_name)
+        self.begin_incarnation(keeps_name=keeps_name)
 
-    def _crashes(self, task: str) -> bool:
+    def _is_crashing(self, task: str) -> bool:
         """Whether a task is the one of its job that crashes workers."""
         job_id, _, step, index = task.split('.')
         job = self._ledger.job_by_id.get(job_id)
         return job is not None and job.crashing and step == index == '0'
 
-    def _crash_by(self, task: str, life: int) -> None:
-        if self.number == life:
-            self._ledger.note_crash(task)
-            self.crash(keeps_name=bool(life % 2))
+    def _crash_in_incarnation(
+        self, task: str, expected_incarnation: int
+    ) -> None:
+        if self.incarnation == expected_incarnation:
+            self._ledger.record_crash(task)
+            self.crash(keeps_name=bool(expected_incarnation % 2))
 
     def break_for(self, seconds: float) -> None:
-        """Fail all that starts in the next seconds."""
+        """Fail all runs that start in the next `seconds`."""
         self._broken_until = time.monotonic() + seconds
 
     @property
     def used(self) -> Size:
-        """The room that its runs take."""
+        """Capacity allocated to its runs."""
         return sum((run.size for run in self._run_by_key.values()), Size())
 
-    def rooms_for(self, step_key: str, step: dict[str, Any]) -> int:
-        """Return how many more tasks of a step it could run now."""
+    def max_additional_tasks(self, step_key: str, step: dict[str, Any]) -> int:
+        """Return how many more tasks of a step the worker could run now."""
         if step.get('requirements', 'kind') not in self._labels:
             return 0
         if self._is_advised(step_key) and not self._advice.permits(
             step_key,
-            self._machine,
+            self._index,
         ):
             return 0
         fitting = size_of(step).copies_in(self.capacity - self.used)
-        most: int = step.get('antiAffinity', 0)
-        if not most:
+        max_copies: int = step.get('antiAffinity', 0)
+        if not max_copies:
             return fitting
-        return max(0, min(fitting, most - self._copies(step_key)))
+        return max(0, min(fitting, max_copies - self._copies(step_key)))
 
     def _is_advised(self, step_key: str) -> bool:
         job = self._ledger.job_by_id.get(step_key.partition('.')[0])
@@ -234,31 +244,31 @@
             task.rpartition('.')[0] == step_key for task, _ in self._run_by_key
         )
 
-    async def shrink(self, seconds: float) -> None:
-        """Have half of the room for a while, and say so."""
-        whole = self.capacity
-        self.capacity = Size(*(room // 2 for room in whole))
-        self.enter('ready')
-        await asyncio.sleep(_ROOM_HEARD_WITHIN)
-        self._judged_capacity = self.capacity
+    async def shrink_capacity(self, seconds: float) -> None:
+        """Halve the capacity for a while and publish it in the entry."""
+        full_capacity = self.capacity
+        self.capacity = Size(*(amount // 2 for amount in full_capacity))
+        self.write_entry('ready')
+        await asyncio.sleep(_CAPACITY_PROPAGATION_SECONDS)
+        self._enforced_capacity = self.capacity
         await asyncio.sleep(seconds)
-        self.capacity = self._judged_capacity = whole
-        self.enter('ready')
+        self.capacity = self._enforced_capacity = full_capacity
+        self.write_entry('ready')
 
     async def drain(self, *, silently: bool) -> None:
-        """Leave as planned, saying so or not, then come back empty."""
+        """Drain, announced in the entry or not, then restart without runs."""
         if silently:
-            self._leave(self.name)
+            self._delete_entry(self.name)
         else:
-            self.enter('draining', int(_DRAINS_FOR * 1000))
-        await asyncio.sleep(_DRAINS_FOR + 0.3)
-        self._leave(self.name)
+            self.write_entry('draining', int(_DRAIN_DURATION * 1000))
+        await asyncio.sleep(_DRAIN_DURATION + 0.3)
+        self._delete_entry(self.name)
         for key, run in list(self._run_by_key.items()):
             self._remove(key, run, 'left')
-        self.begin_life()
+        self.begin_incarnation()
 
-    async def work(self) -> None:
-        """Let time pass for what runs."""
+    async def run_tasks(self) -> None:
+        """Advance the runs tick by tick."""
         last = time.monotonic()
         while True:
             await asyncio.sleep(_TICK)
@@ -268,19 +278,23 @@
 
     async def serve(self, request: Request) -> Response:
         """Answer one order."""
-        expected = (request.get_first_header(_LIFE) or b'').decode()
+        expected = (
+            request.get_first_header(_EXPECTED_INSTANCE_HEADER) or b''
+        ).decode()
         if expected != self.name:
-            return answer(421)
+            return json_response(421)
         order = json.loads(await request.read() or b'{}')
         if order.get('fencingToken', 0) < self._fence:
-            return answer(409, {'clockMs': self._clock_ms(), 'reason': 'fence'})
+            return json_response(
+                409, {'clockMs': self._clock_ms(), 'reason': 'fence'}
+            )
         self._fence = order.get('fencingToken', 0)
         path = request.url.path.decode()
         if path == '/run-start':
             return self._start(order)
         if path == '/run-stop':
             return self._stop(order)
-        return await self._hold(order)
+        return await self._poll(order)
 
     def _clock_ms(self) -> int:
         return int((time.monotonic() - self._clock_begins) * 1000)
@@ -289,43 +303,47 @@
         key = order['taskId'], order['runId']
         now_ms = self._clock_ms()
         if key in self._run_by_key:
-            return answer(200, {'clockMs': now_ms})
+            return json_response(200, {'clockMs': now_ms})
         if order['deadlineMs'] < now_ms:
-            return answer(409, {'clockMs': now_ms, 'reason': 'late'})
+            return json_response(409, {'clockMs': now_ms, 'reason': 'late'})
         self._extend_lease(order['deadlineMs'])
         if order['runId'] <= self._newest_ended.get(order['taskId'], 0):
-            return answer(409, {'clockMs': now_ms, 'reason': 'old'})
+            return json_response(409, {'clockMs': now_ms, 'reason': 'old'})
         step_key, ticket = key[0].rpartition('.')[0], order.get('ticket', '')
-        if self._is_advised(step_key) and not ticket_holds(
+        if self._is_advised(step_key) and not is_ticket_valid(
             ticket,
             step_key,
             self.name,
         ):
-            return answer(409, {'clockMs': now_ms, 'reason': 'ticket'})
-        self._ledger.note_start(order['taskId'], order['spec'], self.name)
+            return json_response(409, {'clockMs': now_ms, 'reason': 'ticket'})
+        self._ledger.record_start(order['taskId'], order['spec'], self.name)
         self._run_by_key[key] = self._make_run(*key)
-        if self._crashes(order['taskId']):
+        if self._is_crashing(order['taskId']):
             asyncio.get_running_loop().call_later(
-                _CRASHES_AFTER,
-                self._crash_by,
+                _CRASH_DELAY,
+                self._crash_in_incarnation,
                 order['taskId'],
-                self.number,
+                self.incarnation,
             )
-        self._judge_start(order['taskId'])
-        return answer(200, {'clockMs': now_ms})
-
-    def _judge_start(self, task: str) -> None:
-        """Judge whether a task that was just started may run here."""
-        if not self.used.fits(self._judged_capacity):
-            detail = f'{self.name} runs {self.used} of {self._judged_capacity}'
-            self._ledger.breach('LIMIT', detail)
+        self._check_start(order['taskId'])
+        return json_response(200, {'clockMs': now_ms})
+
+    def _check_start(self, task: str) -> None:
+        """Check that a task that was just started may run here."""
+        if not self.used.fits(self._enforced_capacity):
+            detail = (
+                f'{self.name} runs {self.used} of {self._enforced_capacity}'
+            )
+            self._ledger.report_violation('LIMIT', detail)
         job = self._ledger.job_by_id.get(task.partition('.')[0])
         step = job.step_of(task) if job else {}
         if step.get('requirements', 'kind') not in self._labels:
-            self._ledger.breach('ROUTE', f'{task} on {self.name}')
+            self._ledger.report_violation('ROUTE', f'{task} on {self.name}')
         copies = self._copies(task.rpartition('.')[0])
         if copies > step.get('antiAffinity', math.inf):
-            self._ledger.breach('ROUTE', f'{self.name} runs {copies} of {task}')
+            self._ledger.report_violation(
+                'ROUTE', f'{self.name} runs {copies} of {task}'
+            )
 
     def _make_run(self, task: str, number: int) -> _Run:
         job = self._ledger.job_by_id.get(task.partition('.')[0])
@@ -343,15 +361,15 @@
         )
 
     def _draw_failure(self, job: SentJob, task: str, number: int) -> float:
-        """Return when a run fails, which is never for most."""
+        """Return when a run fails; infinity if it doesn't."""
         now = time.monotonic()
         if now < self._broken_until:
-            return now + _BREAKS_AFTER
+            return now + _BROKEN_WORKER_DELAY
         step = job.step_of(task)
         failing, within = job.failing, step.get('estimatedMs', 100) / 1000
         if step.get('longRunning'):
-            failing, within = Failing.SOMETIMES, _FAILS_WITHIN
-        # Drawn by the run, so that it is the same whatever ran before.
+            failing, within = Failing.SOMETIMES, _LASTING_FAILURE_WINDOW
+        # Seeded by the run, so that it doesn't depend on earlier draws.
         random = Random(f'{self._seed} {task} {number}')
         if random.random() < _FAILING_SHARES[failing]:
             return now + random.uniform(0, within)
@@ -364,27 +382,29 @@
             newest = self._newest_ended.get(key[0], 0)
             self._newest_ended[key[0]] = max(newest, key[1])
         elif run.stops_at is None:
-            run.stops_at = time.monotonic() + _STOP_TAKES / 2
-        return answer(200, {'clockMs': self._clock_ms()})
+            run.stops_at = time.monotonic() + _STOP_DURATION / 2
+        return json_response(200, {'clockMs': self._clock_ms()})
 
-    async def _hold(self, order: dict[str, Any]) -> Response:
-        for number, task, run, how, _ in self._ended:
+    async def _poll(self, order: dict[str, Any]) -> Response:
+        for number, task, run, ending, _ in self._ended:
             if number <= order.get('lastSeen', 0):
-                self._ledger.note_acknowledged(task, run, self.name, how)
+                self._ledger.record_acknowledgement(
+                    task, run, self.name, ending
+                )
         self._ended = [
             row for row in self._ended if row[0] > order.get('lastSeen', 0)
         ]
         if 'deadlineMs' in order:
             self._extend_lease(order['deadlineMs'])
-        life = self.number
+        expected_incarnation = self.incarnation
         if order.get('waitMs') and not self._ended:
             with suppress(TimeoutError):
                 await asyncio.wait_for(
-                    self._ended_some.wait(),
+                    self._run_ended.wait(),
                     order['waitMs'] / 1000,
                 )
-        if life != self.number:
-            return answer(503)
+        if expected_incarnation != self.incarnation:
+            return json_response(503)
         listing = {
             'clockMs': self._clock_ms(),
             'born': self.born,
@@ -394,37 +414,37 @@
             ],
             'ended': self._ended[:500],
         }
-        return answer(200, listing)
+        return json_response(200, listing)
 
     def _extend_lease(self, deadline_ms: float) -> None:
-        own = deadline_ms / 1000 + self._clock_begins
-        most = time.monotonic() + _MOST_HOLD
-        self._lease_ends = max(self._lease_ends, min(own, most))
+        requested_end = deadline_ms / 1000 + self._clock_begins
+        latest_end = time.monotonic() + _MAX_LEASE_SECONDS
+        self._lease_ends = max(self._lease_ends, min(requested_end, latest_end))
 
-    def _advance(self, passed: float, now: float) -> None:
+    def _advance(self, elapsed: float, now: float) -> None:
         if self._run_by_key and now > self._lease_ends:
             for key, run in list(self._run_by_key.items()):
                 self._end(key, run, 'lapsed')
         for key, run in list(self._run_by_key.items()):
-            how = run.advance(passed, now)
-            if how:
-                self._end(key, run, how)
+            ending = run.advance(elapsed, now)
+            if ending:
+                self._end(key, run, ending)
 
-    def _end(self, key: tuple[str, int], run: _Run, how: str) -> None:
-        self._remove(key, run, how)
+    def _end(self, key: tuple[str, int], run: _Run, ending: str) -> None:
+        self._remove(key, run, ending)
         self._newest_ended[key[0]] = key[1]
-        self._ended.append([next(self._numbers), *key, how, ''])
-        self._ended_some.set()
-        self._ended_some = asyncio.Event()
+        self._ended.append([next(self._ended_numbers), *key, ending, ''])
+        self._run_ended.set()
+        self._run_ended = asyncio.Event()
 
-    def _remove(self, key: tuple[str, int], run: _Run, how: str) -> None:
+    def _remove(self, key: tuple[str, int], run: _Run, ending: str) -> None:
         self._run_by_key.pop(key)
-        run.gang.leave(how)
-        self._ledger.note_end(*key, self.name, how)
+        run.gang.leave(ending)
+        self._ledger.record_end(*key, self.name, ending)
 
-    def _leave(self, name: str) -> None:
+    def _delete_entry(self, name: str) -> None:
         self._store.put('keyed.servers', name, b'')
 
 
-def _nothing() -> None:
-    """Have no connections to end."""
+def _do_nothing() -> None:
+    """Do nothing: there are no connections to abort."""
