--- a/soak/advice.py
+++ b/soak/advice.py
@@ -13,7 +13,7 @@
 
 from soak.http import json_response
 
-#: Duration of an advice request, in total and per worker, and the validity of
+#: Duration of an advice request, a base and a share per worker, and validity of
 #: tickets, in milliseconds.
 ADVICE = {'decide_ms': 500, 'each_ms': 7, 'valid_ms': 2000}
 #: Advice requests of one lane that may be queued or in flight.
