--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -72,12 +72,12 @@
         f'task(s){together} of step {fields["step"]}.'
     )
     counts = ', '.join(
-        f'{count} {_describe_reason(obstacle)}'
-        for obstacle, count in fields.get('workers', {}).items()
+        f'{count} {_describe_reason(reason)}'
+        for reason, count in fields.get('workers', {}).items()
     )
     yield f'Workers: {counts}.'
-    for worker, obstacle in fields.get('idle', {}).items():
-        yield f'Room on {worker}: {_describe_reason(obstacle)}.'
+    for worker, reason in fields.get('idle', {}).items():
+        yield f'Room on {worker}: {_describe_reason(reason)}.'
     yield from _describe_advice_request(fields)
     unheard = fields.get('unheard')
     if unheard is not None:
