--- a/orchidrail/bundles/__init__.py
+++ b/orchidrail/bundles/__init__.py
@@ -1,1 +1,1 @@
-"""The versioned bundle: what it says, who may change it, which one wins."""
+"""The versioned configuration bundle: schema, signatures and replay."""
--- a/orchidrail/bundles/fold.py
+++ b/orchidrail/bundles/fold.py
@@ -1,7 +1,7 @@
-"""The deterministic fold from the log's records to the bundle in force.
+"""Deterministic replay of the log's records into the active bundle.
 
-Every reader runs the same fold, so the log's order alone decides which draft
-on a base wins. Versions only grow.
+Every reader applies the same records in log order, so that order alone
+decides which draft on a base version wins. Versions only increase.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Records of past publishes kept for `history`.
-_HISTORY = 100
+#: Maximum number of publish outcomes kept in `history`.
+_MAX_HISTORY = 100
 _log = structlog.get_logger()
 
 
 class PublishOutcome(NamedTuple):
-    """What became of one publish record."""
+    """Outcome of one publish record."""
 
     draft: str
     offset: Offset
@@ -56,11 +56,11 @@
 
 
 def apply_patch(document: str, patch: str) -> Result[str, str]:
-    """Apply a JSON patch to a canonical document and check the outcome.
+    """Apply a JSON patch to a canonical document and validate the result.
 
     Returns
     -------
-    Ok with the new canonical document, or Err with what is wrong.
+    Ok with the new canonical document, or Err with the validation error.
 
     Examples
     --------
@@ -87,12 +87,13 @@
 
 
 class BundleFold:
-    """The bundle in force, as this process knows it.
+    """The active bundle, as known to this process.
 
     Parameters
     ----------
     genesis : Bundle
-        Version 0: whom the settings trust to publish the first version.
+        Version 0, from the settings: names the operators that are trusted to
+        publish the first version.
     on_change : callable, optional
         Called after each new version.
     """
@@ -109,7 +110,7 @@
         self.document = canonical(genesis)
         self.sign_off: SignOff | None = None
         self.offset = Offset(-1)
-        #: The log's time of the newest record that holds the whole version.
+        #: Log time of the newest record that holds the complete version.
         self.kept_at: Seconds = 0
         self.history: list[PublishOutcome] = []
         self.draft_by_id: dict[str, Draft] = {}
@@ -124,16 +125,16 @@
         try:
             parsed = decode_record(record.payload)
         except msgspec.MsgspecError as error:
-            _log.warning('not a bundle record', error=str(error))
+            _log.warning('cannot decode bundle record', error=str(error))
             return
-        self._fold(parsed, record)
+        self._replay(parsed, record)
 
     def note_gap(self, first: Offset) -> None:
-        """See `Fold.note_gap`; the next snapshot closes it."""
+        """See `Fold.note_gap`; the next snapshot clears the flag."""
         self.gap = True
 
     def snapshot(self) -> Snapshot | None:
-        """Return the version in force with its sign-off, once there is one."""
+        """Return the active version, or None while it is version 0."""
         if self.sign_off is None:
             return None
         return Snapshot(
@@ -143,66 +144,67 @@
         )
 
     def adopt(self, snapshot: Snapshot, offset: Offset) -> bool:
-        """Take a newer version, from a peer or the log, if it is signed off.
+        """Activate a newer, signed-off version from a peer or the log.
 
-        The signer must be known to the version in force here.
+        The signer must be an operator of the version that is active here.
+        Returns whether the snapshot was accepted.
         """
-        if snapshot.version <= self.version or not self._trusts(snapshot):
+        if snapshot.version <= self.version or not self._authorized(snapshot):
             return False
         try:
             bundle = msgspec.json.decode(snapshot.document, type=Bundle)
         except msgspec.MsgspecError:
             return False
         self.gap = False
-        self._enter(bundle, snapshot.document, snapshot.sign_off, offset)
+        self._activate(bundle, snapshot.document, snapshot.sign_off, offset)
         return True
 
     @singledispatchmethod
-    def _fold(self, record: BundleRecord, where: LogRecord) -> None:
+    def _replay(self, record: BundleRecord, log_record: LogRecord) -> None:
         raise TypeError(f'expected a bundle record, got {record!r}')
 
-    @_fold.register
-    def _(self, record: Draft, where: LogRecord) -> None:
+    @_replay.register
+    def _(self, record: Draft, log_record: LogRecord) -> None:
         if record.base >= self.version:
             self.draft_by_id[draft_id(record)] = record
 
-    @_fold.register
-    def _(self, record: Review, where: LogRecord) -> None:
+    @_replay.register
+    def _(self, record: Review, log_record: LogRecord) -> None:
         self.review_by_draft[record.draft] = record
 
-    @_fold.register
-    def _(self, record: SignOff, where: LogRecord) -> None:
+    @_replay.register
+    def _(self, record: SignOff, log_record: LogRecord) -> None:
         self.sign_off_by_draft[record.draft] = record
 
-    @_fold.register
-    def _(self, record: Snapshot, where: LogRecord) -> None:
-        self.adopt(record, where.offset)
+    @_replay.register
+    def _(self, record: Snapshot, log_record: LogRecord) -> None:
+        self.adopt(record, log_record.offset)
         if record.version == self.version:
-            self.offset = where.offset
-            self.kept_at = where.at
+            self.offset = log_record.offset
+            self.kept_at = log_record.at
 
-    @_fold.register
-    def _(self, record: Publish, where: LogRecord) -> None:
-        outcome = self._judge(record)
+    @_replay.register
+    def _(self, record: Publish, log_record: LogRecord) -> None:
+        outcome = self._evaluate(record)
         won = isinstance(outcome, Ok)
         if isinstance(outcome, Ok):
             bundle = msgspec.json.decode(outcome.ok_value, type=Bundle)
             document = outcome.ok_value
-            self._enter(bundle, document, record.sign_off, where.offset)
-            self.kept_at = where.at
+            self._activate(bundle, document, record.sign_off, log_record.offset)
+            self.kept_at = log_record.at
         self.history.append(
             PublishOutcome(
                 draft_id(record.draft),
-                where.offset,
+                log_record.offset,
                 self.version,
                 won,
                 '' if won else str(outcome.err()),
             ),
         )
-        self.history = self.history[-_HISTORY:]
+        self.history = self.history[-_MAX_HISTORY:]
 
-    def _judge(self, record: Publish) -> Result[str, str]:
-        """Return the new document, or why the record changes nothing."""
+    def _evaluate(self, record: Publish) -> Result[str, str]:
+        """Return the new document, or why the record is rejected."""
         if record.draft.base != self.version:
             return Err(
                 f'expected base {self.version!r}, got {record.draft.base!r}',
@@ -215,13 +217,13 @@
             return outcome
         content_hash = document_hash(outcome.ok_value)
         if content_hash != record.sign_off.content_hash:
-            return Err('the sign-off is for another outcome')
+            return Err('the sign-off covers a different document')
         return outcome
 
     def _check_signatures(self, record: Publish) -> str:
         draft = draft_id(record.draft)
         author = record.draft.author
-        steps = (
+        approvals = (
             (
                 author,
                 Role.DRAFT,
@@ -245,14 +247,16 @@
                 record.sign_off.signature,
             ),
         )
-        for operator, role, text, signature in steps:
+        for operator, role, text, signature in approvals:
             if not allowed(self.bundle, operator, role, text, signature):
-                return f'{operator!r} may not {role.value}, or signed otherwise'
+                return (
+                    f'{operator!r} lacks role {role.value} or a valid signature'
+                )
         if author in {record.review.reviewer, record.sign_off.signer}:
             return f'{author!r} may not approve a draft of their own'
         return ''
 
-    def _trusts(self, snapshot: Snapshot) -> bool:
+    def _authorized(self, snapshot: Snapshot) -> bool:
         sign_off = snapshot.sign_off
         text = sign_off_text(
             sign_off.draft,
@@ -267,7 +271,7 @@
             sign_off.signature,
         )
 
-    def _enter(
+    def _activate(
         self,
         bundle: Bundle,
         document: str,
@@ -287,14 +291,14 @@
         self.document = document
         self.sign_off = sign_off
         self.offset = offset
-        self._drop_old_drafts()
-        _log.info('bundle in force', version=version)
+        self._drop_outdated_drafts()
+        _log.info('bundle activated', version=version)
         if self._on_change is not None:
             self._on_change()
 
-    def _drop_old_drafts(self) -> None:
-        for name, draft in list(self.draft_by_id.items()):
+    def _drop_outdated_drafts(self) -> None:
+        for draft_key, draft in list(self.draft_by_id.items()):
             if draft.base < self.version:
-                self.draft_by_id.pop(name)
-                self.review_by_draft.pop(name, None)
-                self.sign_off_by_draft.pop(name, None)
+                self.draft_by_id.pop(draft_key)
+                self.review_by_draft.pop(draft_key, None)
+                self.sign_off_by_draft.pop(draft_key, None)
--- a/orchidrail/bundles/model.py
+++ b/orchidrail/bundles/model.py
@@ -1,4 +1,4 @@
-"""What a bundle says, as checked records."""
+"""Schema of the configuration bundle, as validated records."""
 
 from __future__ import annotations
 
@@ -11,51 +11,51 @@
 from orchidrail.resources import NOTHING, Resources
 from orchidrail.types import ClassName, TenantId, ZoneId
 
-_Share = Annotated[float, Meta(ge=0, le=1)]
-_Positive = Annotated[float, Meta(gt=0)]
-_Count = Annotated[int, Meta(ge=1)]
+_Fraction = Annotated[float, Meta(ge=0, le=1)]
+_PositiveFloat = Annotated[float, Meta(gt=0)]
+_PositiveInt = Annotated[int, Meta(ge=1)]
 
 
-class _Part(
+class _Section(
     msgspec.Struct,
     frozen=True,
     kw_only=True,
     rename='camel',
     forbid_unknown_fields=True,
 ):
-    """Base of the parts of a bundle; an unknown field is an error."""
+    """Base of the sections of a bundle; unknown fields are rejected."""
 
 
-class WaitingPolicy(_Part, frozen=True, tag='waiting', tag_field='kind'):
+class WaitingPolicy(_Section, frozen=True, tag='waiting', tag_field='kind'):
     """Place on the least loaded of a few sampled workers.
 
     Parameters
     ----------
     sample : int
-        How many workers are looked at. More than one has not shortened any
-        wait in ``make bench``: there is one queue, not one a worker.
+        Number of workers sampled. In ``make bench``, more than one shortens
+        no wait, as there is one shared queue, not one per worker.
     """
 
-    sample: _Count = 1
+    sample: _PositiveInt = 1
 
 
-class PackingPolicy(_Part, frozen=True, tag='packing', tag_field='kind'):
-    """Place on the fullest worker that fits and keeps its headroom.
+class PackingPolicy(_Section, frozen=True, tag='packing', tag_field='kind'):
+    """Place on the fullest worker that fits and retains its headroom.
 
     Parameters
     ----------
     candidates : int
-        How many of the fullest workers are scored.
+        Number of the fullest workers that are scored.
     """
 
-    candidates: _Count = 8
+    candidates: _PositiveInt = 8
 
 
 Policy = WaitingPolicy | PackingPolicy
 
 
 class WorkKind(Enum):
-    """How a class of work is run."""
+    """Execution model of a class of work."""
 
     REQUEST = 'request'
     BATCH = 'batch'
@@ -63,21 +63,21 @@
     SERVICE = 'service'
 
 
-class WorkClass(_Part, frozen=True):
-    """One class of work.
+class WorkClass(_Section, frozen=True):
+    """Scheduling rules of one class of work.
 
     Parameters
     ----------
     priority : int
-        Higher goes first.
+        Work of higher priority is placed first.
     repeatable : bool
-        Whether a request may run more than once.
+        Whether a request may be executed more than once.
     urgent : bool
         Whether it may preempt work of lower priority.
     timeout : float
-        Seconds that a request may take in all.
+        Total time limit of a request, in seconds.
     ageing : float
-        Seconds of waiting that raise the priority by one.
+        Waiting time that raises the priority by one, in seconds.
     """
 
     kind: WorkKind
@@ -87,72 +87,72 @@
     urgent: bool = False
     preemptible: bool = False
     size: Resources = NOTHING
-    timeout: _Positive = 10
-    ageing: _Positive = 60
-    max_attempts: _Count = 3
+    timeout: _PositiveFloat = 10
+    ageing: _PositiveFloat = 60
+    max_attempts: _PositiveInt = 3
 
 
-class Quota(_Part, frozen=True):
-    """Most that a tenant may use at one time in a zone; zero: no limit."""
+class Quota(_Section, frozen=True):
+    """Maximum concurrent usage of a tenant per zone; zero means no limit."""
 
     cores: float = 0
     memory: float = 0
     accelerators: int = 0
 
 
-class Tenant(_Part, frozen=True):
-    """One tenant.
+class Tenant(_Section, frozen=True):
+    """Weight, limits and keys of one tenant.
 
     Parameters
     ----------
     weight : float
-        Its share against other tenants in a backlog.
+        Relative share of capacity while work is queued.
     rate : float
-        Requests a second that one gateway takes from it.
+        Requests per second that one gateway admits for it.
     keys : list of str
         ``sha256:`` digests of its bearer keys.
     """
 
-    weight: _Positive = 1
+    weight: _PositiveFloat = 1
     quota: Quota = Quota()
-    rate: _Positive = 1000
+    rate: _PositiveFloat = 1000
     keys: list[str] = []
 
 
 class Role(Enum):
-    """What an operator may do with a bundle."""
+    """Permission of an operator to change a bundle."""
 
     DRAFT = 'draft'
     REVIEW = 'review'
     SIGN_OFF = 'signOff'
 
 
-class Operator(_Part, frozen=True):
-    """An operator's public ed25519 key (hex) and roles."""
+class Operator(_Section, frozen=True):
+    """Public ed25519 key (hex) and roles of an operator."""
 
     key: str
     roles: list[Role]
 
 
-class Zone(_Part, frozen=True):
+class Zone(_Section, frozen=True):
     """Settings of one availability zone."""
 
-    #: Room that batch and gang work leaves free on each worker.
+    #: Capacity that batch and gang work leaves free on each worker.
     headroom: Resources = NOTHING
-    #: Workers that operators want emptied.
+    #: Workers that operators are draining.
     draining: list[str] = []
 
 
-class Bundle(_Part, frozen=True):
-    """Everything that operators decide."""
+class Bundle(_Section, frozen=True):
+    """All configuration that operators control."""
 
     tenants: dict[TenantId, Tenant] = {}
     classes: dict[ClassName, WorkClass] = {}
     zones: dict[ZoneId, Zone] = {}
     operators: dict[str, Operator] = {}
-    #: Share of a zone's workers that may be ejected for failing.
-    max_ejected: _Share = 0.3
+    #: Maximum share of a zone's workers that may be ejected for failures.
+    max_ejected: _Fraction = 0.3
 
     def zone(self, name: ZoneId) -> Zone:
-        """Return a zone's settings, the defaults if it has none."""
+        """Return the settings of a zone, or the defaults if it has none."""
         return self.zones.get(name, Zone())
--- a/orchidrail/bundles/records.py
+++ b/orchidrail/bundles/records.py
@@ -1,8 +1,8 @@
-"""Records of the bundle's stream.
+"""Records of the bundle stream.
 
-Draft, review and sign-off records let operators work together. A publish
-record carries all three again, so that the fold needs nothing that the log
-may have trimmed.
+Draft, review and sign-off records coordinate operators. A publish record
+embeds all three, so that a replay never needs records that the log may have
+trimmed.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
     rename='camel',
     tag_field='record',
 ):
-    """Base of the records."""
+    """Base of the records in the bundle stream."""
 
 
 class Draft(_Record, frozen=True, tag='draft'):
-    """A change of the bundle: a JSON patch (RFC 6902) on version `base`."""
+    """A proposed change: a JSON patch (RFC 6902) on version `base`."""
 
     base: BundleVersion
     author: str
@@ -41,7 +41,7 @@
 
 
 class SignOff(_Record, frozen=True, tag='signOff'):
-    """Permission to publish a draft; covers the whole outcome."""
+    """Permission to publish a draft; covers the hash of the new bundle."""
 
     draft: str
     signer: str
@@ -51,7 +51,7 @@
 
 
 class Publish(_Record, frozen=True, tag='publish'):
-    """Puts a draft in force, if it is the first on its base."""
+    """Activates a draft, if it is the first published on its base version."""
 
     draft: Draft
     review: Review
@@ -59,7 +59,7 @@
 
 
 class Snapshot(_Record, frozen=True, tag='snapshot'):
-    """A bundle in force, whole, with the sign-off that allows it."""
+    """The complete active bundle with the sign-off that authorizes it."""
 
     version: BundleVersion
     document: str
@@ -70,16 +70,16 @@
 
 
 def encode_record(record: BundleRecord) -> str:
-    """Return a record as JSON."""
+    """Encode a record as JSON."""
     return msgspec.json.encode(record).decode()
 
 
 def decode_record(payload: str) -> BundleRecord:
-    """Return the record in `payload`.
+    """Decode a record from JSON.
 
     Raises
     ------
     msgspec.DecodeError
-        If it holds none.
+        If `payload` is not a valid record.
     """
     return msgspec.json.decode(payload, type=BundleRecord)
--- a/orchidrail/bundles/signing.py
+++ b/orchidrail/bundles/signing.py
@@ -1,4 +1,4 @@
-"""Operators' ed25519 keys and what they sign."""
+"""Ed25519 signatures of operators and the texts that they cover."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
     from orchidrail.bundles.records import Draft
 
 
-#: Hexadecimal digits of a draft's id.
-_ID_LENGTH = 16
+#: Length of a draft id, in hexadecimal digits.
+_DRAFT_ID_LENGTH = 16
 
 
 def make_key() -> tuple[str, str]:
-    """Return a new private key and its public key, both in hex."""
+    """Generate a key pair; return private and public key in hex."""
     private = Ed25519PrivateKey.generate()
     return (
         private.private_bytes_raw().hex(),
@@ -38,7 +38,7 @@
 
 
 def verify(public_key: str, text: str, signature: str) -> bool:
-    """Tell whether `signature` is that of `text` by the key's owner."""
+    """Return whether `signature` is valid for `text` and `public_key`."""
     try:
         key = Ed25519PublicKey.from_public_bytes(bytes.fromhex(public_key))
         key.verify(bytes.fromhex(signature), text.encode())
@@ -54,23 +54,23 @@
     text: str,
     signature: str,
 ) -> bool:
-    """Tell whether `operator` may act in `role` and has signed `text`."""
-    known = bundle.operators.get(operator)
-    if known is None or role not in known.roles:
+    """Return whether `operator` has `role` and has signed `text`."""
+    known_operator = bundle.operators.get(operator)
+    if known_operator is None or role not in known_operator.roles:
         return False
-    return verify(known.key, text, signature)
+    return verify(known_operator.key, text, signature)
 
 
 def document_hash(document: str) -> str:
-    """Return the hash of a bundle's canonical document."""
+    """Return the SHA-256 digest of a canonical document, in hex."""
     return hashlib.sha256(document.encode()).hexdigest()
 
 
 def canonical(bundle: Bundle) -> str:
-    """Return a bundle's one canonical JSON document.
+    """Return the canonical JSON document of a bundle.
 
-    Read back once, so that whole numbers in fields of fractions are written
-    in one way, wherever they came from.
+    The bundle is decoded once before the final encoding, so that whole
+    numbers in float fields are always written alike: ``1`` becomes ``1.0``.
     """
     raw = msgspec.json.encode(bundle)
     read_back = msgspec.json.decode(raw, type=Bundle)
@@ -78,20 +78,20 @@
 
 
 def draft_text(draft: Draft) -> str:
-    """Return what the author of a draft signs; its hash is the draft's id."""
+    """Return the text that the author signs; its hash gives the draft id."""
     return f'draft/{draft.base}/{draft.author}/{draft.patch}'
 
 
 def draft_id(draft: Draft) -> str:
-    """Return the id that a draft's content gives it."""
-    return document_hash(draft_text(draft))[:_ID_LENGTH]
+    """Return the id of a draft, derived from its content."""
+    return document_hash(draft_text(draft))[:_DRAFT_ID_LENGTH]
 
 
 def review_text(draft: str) -> str:
-    """Return what a reviewer signs."""
+    """Return the text that a reviewer signs."""
     return f'review/{draft}'
 
 
 def sign_off_text(draft: str, version: int, content_hash: str) -> str:
-    """Return what is signed off: the draft and the whole outcome."""
+    """Return the text of a sign-off: draft, version and new content."""
     return f'sign-off/{draft}/{version}/{content_hash}'
--- a/orchidrail/bundles/tests/test_fold.py
+++ b/orchidrail/bundles/tests/test_fold.py
@@ -1,4 +1,4 @@
-"""Tests of the fold: who wins, who may, and that versions only grow."""
+"""Tests of the bundle replay: conflicts, permissions and versions."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
         where = LogRecord(Offset(offset), 0, encode_record(record))
         self.fold.apply(where)
 
-    def test_the_first_on_a_base_wins(self) -> None:
+    def test_first_publish_on_a_base_wins(self) -> None:
         first, second = self.publish(2), self.publish(3)
         self.apply(first, 0)
         self.apply(second, 1)
@@ -49,49 +49,49 @@
         self.assertEqual([True, False], [one.won for one in self.fold.history])
         self.assertIn('expected base 1', self.fold.history[1].reason)
 
-    def test_a_double_record_changes_nothing(self) -> None:
+    def test_duplicate_record_is_ignored(self) -> None:
         record = self.publish(2)
         self.apply(record, 0)
         self.apply(record, 1)
         self.assertEqual(1, self.fold.version)
 
-    def test_what_is_not_allowed_changes_nothing(self) -> None:
-        good = self.publish(2)
+    def test_unauthorized_publish_is_rejected(self) -> None:
+        valid = self.publish(2)
         replace = msgspec.structs.replace
         cases = (
-            replace(good, draft=replace(good.draft, patch='[]')),
-            replace(good, draft=replace(good.draft, author='bob')),
-            replace(good, review=replace(good.review, reviewer='alice')),
-            replace(good, review=replace(good.review, signature='00')),
-            replace(good, sign_off=replace(good.sign_off, content_hash='x')),
-            replace(good, sign_off=replace(good.sign_off, signer='bob')),
+            replace(valid, draft=replace(valid.draft, patch='[]')),
+            replace(valid, draft=replace(valid.draft, author='bob')),
+            replace(valid, review=replace(valid.review, reviewer='alice')),
+            replace(valid, review=replace(valid.review, signature='00')),
+            replace(valid, sign_off=replace(valid.sign_off, content_hash='x')),
+            replace(valid, sign_off=replace(valid.sign_off, signer='bob')),
         )
         for record in cases:
             self.apply(record)
             self.assertEqual(0, self.fold.version, record)
 
-    def test_a_document_does_not_depend_on_where_numbers_came_from(
+    def test_equal_bundles_have_equal_canonical_documents(
         self,
     ) -> None:
-        made = Bundle(max_ejected=1)
-        read = msgspec.json.decode(b'{"maxEjected": 1}', type=Bundle)
-        self.assertEqual(canonical(made), canonical(read))
+        constructed = Bundle(max_ejected=1)
+        decoded = msgspec.json.decode(b'{"maxEjected": 1}', type=Bundle)
+        self.assertEqual(canonical(constructed), canonical(decoded))
 
-    def test_garbage_changes_nothing(self) -> None:
+    def test_undecodable_records_are_ignored(self) -> None:
         for payload in ('', '{}', 'null', '{"record": "publish"}', '[1]'):
             self.fold.apply(LogRecord(Offset(0), 0, payload))
         self.assertEqual(0, self.fold.version)
 
-    def test_a_snapshot_closes_a_gap(self) -> None:
+    def test_snapshot_clears_the_gap_flag(self) -> None:
         self.apply(self.publish(2))
         snapshot = self.fold.snapshot()
-        late = self.new_fold()
-        late.note_gap(Offset(5))
-        late.apply(LogRecord(Offset(5), 0, encode_record(snapshot)))
-        self.assertEqual(1, late.version)
-        self.assertFalse(late.gap)
+        late_reader = self.new_fold()
+        late_reader.note_gap(Offset(5))
+        late_reader.apply(LogRecord(Offset(5), 0, encode_record(snapshot)))
+        self.assertEqual(1, late_reader.version)
+        self.assertFalse(late_reader.gap)
 
-    def test_an_older_or_forged_snapshot_is_not_taken(self) -> None:
+    def test_older_or_forged_snapshot_is_rejected(self) -> None:
         self.apply(self.publish(2))
         old = self.fold.snapshot()
         self.apply(self.publish(3), 1)
@@ -103,7 +103,7 @@
         self.assertFalse(self.new_fold().adopt(changed, Offset(0)))
         self.assertEqual(2, self.fold.version)
 
-    def test_every_reader_folds_alike_from_any_start(self) -> None:
+    def test_readers_agree_from_any_snapshot(self) -> None:
         random = Random(5)
         records: list[Publish | Snapshot] = []
         for number in range(12):
