--- a/orchidrail/logstream/__init__.py
+++ b/orchidrail/logstream/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of the platform's log: following, group commit, compaction."""
+"""Readers and batched writers of the platform's log streams."""
--- a/orchidrail/logstream/follower.py
+++ b/orchidrail/logstream/follower.py
@@ -1,4 +1,4 @@
-"""Following one stream of the log and folding its records."""
+"""Polling reader that applies the records of one log stream."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
         LogRecord,
     )
 
-_PAGE = 500
-#: Share of the interval by which polls are spread.
+_PAGE_SIZE = 500
+#: Relative jitter of the poll interval.
 _JITTER = 0.2
 _log = structlog.get_logger()
 
 
 class Fold(Protocol):
-    """What a stream's records are folded into."""
+    """State built from the records of a stream."""
 
     def apply(self, record: LogRecord) -> None:
-        """Take one record in; must be deterministic and never raise."""
+        """Apply one record; must be deterministic and never raise."""
 
     def note_gap(self, first: Offset) -> None:
-        """Learn that records before `first` were trimmed unread."""
+        """Record that entries before `first` were trimmed unread."""
 
 
 class Follower:
-    """Polls one stream and folds what is new.
+    """Polls one stream and applies new records.
 
     Parameters
     ----------
@@ -43,9 +43,9 @@
     stream : str
     fold : Fold
     interval : float
-        Seconds between polls; `poke` brings the next one forward.
+        Seconds between polls; `poke` triggers the next one at once.
     random : Random
-        Spreads the polls of many followers.
+        Source of jitter, which spreads the polls of many followers.
 
     Examples
     --------
@@ -74,46 +74,46 @@
         interval: Seconds,
         random: Random,
     ) -> None:
-        """Start before the first record."""
+        """Start at offset 0."""
         self.next = Offset(0)
-        #: Whether the last poll reached the log.
+        #: Whether the last poll succeeded.
         self.connected = False
-        #: Whether the whole stream has been read once.
+        #: Set once the end of the stream has been reached.
         self.caught_up = asyncio.Event()
         self._log = log
         self.stream = stream
         self._fold = fold
         self._interval = interval
         self._random = random
-        self._poked = asyncio.Event()
+        self._poll_requested = asyncio.Event()
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
             more = await self.poll()
             if not more:
-                await self._pause()
+                await self._wait_for_next_poll()
 
     async def poll(self) -> bool:
         """Read one page; return whether there is more to read."""
-        page = await self._log.read(self.stream, self.next, _PAGE)
+        page = await self._log.read(self.stream, self.next, _PAGE_SIZE)
         self.connected = isinstance(page, Ok)
         if not isinstance(page, Ok):
             return False
-        self._take(page.ok_value)
+        self._apply_page(page.ok_value)
         more = self.next < page.ok_value.end
         if not more:
             self.caught_up.set()
         return more
 
     def poke(self) -> None:
-        """Poll as soon as possible."""
-        self._poked.set()
+        """Trigger the next poll without delay."""
+        self._poll_requested.set()
 
-    def _take(self, page: LogPage) -> None:
+    def _apply_page(self, page: LogPage) -> None:
         if page.first > self.next:
             _log.warning(
-                'log was trimmed unread',
+                'log was trimmed before it was read',
                 stream=self.stream,
                 expected=self.next,
                 first=page.first,
@@ -125,10 +125,12 @@
                 self._fold.apply(record)
                 self.next = Offset(record.offset + 1)
 
-    async def _pause(self) -> None:
+    async def _wait_for_next_poll(self) -> None:
         jitter = self._random.uniform(1 - _JITTER, 1 + _JITTER)
         try:
-            await asyncio.wait_for(self._poked.wait(), self._interval * jitter)
+            await asyncio.wait_for(
+                self._poll_requested.wait(), self._interval * jitter
+            )
         except (TimeoutError, asyncio.TimeoutError):
             return
-        self._poked.clear()
+        self._poll_requested.clear()
--- a/orchidrail/logstream/group_commit.py
+++ b/orchidrail/logstream/group_commit.py
@@ -1,4 +1,4 @@
-"""Many records in one append, within this daemon's share of appends."""
+"""Group commit: batches records into appends at a limited rate."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-#: Characters shown of a record that is not one.
-_SHOWN = 64
-#: Most records in one append.
-_MAX_BATCH = 1000
+#: Maximum characters of a malformed payload in a log line.
+_MAX_LOGGED_CHARACTERS = 64
+#: Maximum number of records in one append.
+_MAX_RECORDS_PER_APPEND = 1000
 _log = structlog.get_logger()
 
 
-class _Item:
+class _PendingRecord:
     def __init__(self, record: str) -> None:
         self.record = record
         self.sent = False
@@ -33,9 +33,9 @@
 
 
 class GroupCommit:
-    """Appends records to one stream in groups.
+    """Appends records to one stream in batches.
 
-    Records must be idempotent: one whose acknowledgement was lost is
+    Records must be idempotent: a record whose acknowledgement was lost is
     appended again.
 
     Parameters
@@ -43,13 +43,14 @@
     log : ConfigurationLog
     stream : str
     interval : float
-        Least seconds between two appends: this daemon's share.
+        Minimum seconds between two appends, so that this daemon stays
+        within its share of the log's append rate.
     clock : callable
-        Monotonic seconds.
+        Monotonic clock, in seconds.
 
     Notes
     -----
-    The payload of an append is a JSON list of strings, one a record.
+    The payload of an append is a JSON list of strings, one per record.
 
     Examples
     --------
@@ -74,13 +75,13 @@
         interval: Seconds,
         clock: Callable[[], Seconds],
     ) -> None:
-        """Start with nothing to append."""
+        """Create an empty queue; `run` appends from it."""
         self.appends = 0
         self._log = log
         self._stream = stream
         self._interval = interval
         self._clock = clock
-        self._waiting: deque[_Item] = deque()
+        self._pending: deque[_PendingRecord] = deque()
         self._wake = asyncio.Event()
 
     async def commit(
@@ -88,57 +89,58 @@
         record: str,
         patience: Seconds,
     ) -> Result[Offset, LogFailure]:
-        """Append one record and wait until it is kept.
+        """Append one record and wait until it is stored.
 
         Returns
         -------
-        Ok with the offset. Err with ``NOT_SENT`` if it was never sent and
-        never will be, with ``ANSWER_LOST`` if it may be in the log.
+        Ok with the offset. After `patience` seconds, Err with ``NOT_SENT``
+        if the record was not and will not be sent, or with ``ANSWER_LOST``
+        if it may be in the log.
         """
-        item = _Item(record)
-        self._waiting.append(item)
+        item = _PendingRecord(record)
+        self._pending.append(item)
         self._wake.set()
         try:
             offset = await asyncio.wait_for(item.done, patience)
         except (TimeoutError, asyncio.TimeoutError):
-            return Err(self._give_up(item))
+            return Err(self._abandon(item))
         return Ok(offset)
 
     async def run(self) -> None:
-        """Append groups until cancelled."""
+        """Append batches until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
-            while self._waiting:
+            while self._pending:
                 started = self._clock()
                 await self._append_group()
-                rest = self._interval - (self._clock() - started)
-                await asyncio.sleep(max(0, rest))
+                remaining = self._interval - (self._clock() - started)
+                await asyncio.sleep(max(0, remaining))
 
-    def _give_up(self, item: _Item) -> LogFailure:
-        if item in self._waiting:
-            self._waiting.remove(item)
+    def _abandon(self, item: _PendingRecord) -> LogFailure:
+        if item in self._pending:
+            self._pending.remove(item)
         return LogFailure.ANSWER_LOST if item.sent else LogFailure.NOT_SENT
 
     async def _append_group(self) -> None:
-        group = list(self._waiting)[:_MAX_BATCH]
+        group = list(self._pending)[:_MAX_RECORDS_PER_APPEND]
         records = [item.record for item in group]
         payload = msgspec.json.encode(records).decode()
-        before = [item.sent for item in group]
+        sent_before = [item.sent for item in group]
         for item in group:
             item.sent = True
         outcome = await self._log.append(self._stream, payload)
         self.appends += 1
         if isinstance(outcome, Ok):
-            self._settle(group, outcome.ok_value)
+            self._acknowledge(group, outcome.ok_value)
         elif outcome.err_value is not LogFailure.ANSWER_LOST:
-            for item, sent in zip(group, before, strict=True):
+            for item, sent in zip(group, sent_before, strict=True):
                 item.sent = sent
 
-    def _settle(self, group: list[_Item], offset: Offset) -> None:
-        ended = frozenset(map(id, group))
-        self._waiting = deque(
-            item for item in self._waiting if id(item) not in ended
+    def _acknowledge(self, group: list[_PendingRecord], offset: Offset) -> None:
+        acknowledged = frozenset(map(id, group))
+        self._pending = deque(
+            item for item in self._pending if id(item) not in acknowledged
         )
         for item in group:
             if not item.done.done():
@@ -146,9 +148,12 @@
 
 
 def split_group(payload: str) -> list[str]:
-    """Return the records of one append; none if it isn't a group."""
+    """Return the records of one append; empty if it is malformed."""
     try:
         return msgspec.json.decode(payload, type=list[str])
     except msgspec.DecodeError:
-        _log.warning('record is not a group', payload=payload[:_SHOWN])
+        _log.warning(
+            'cannot decode batch of records',
+            payload=payload[:_MAX_LOGGED_CHARACTERS],
+        )
         return []
--- a/orchidrail/logstream/tests/test_group_commit.py
+++ b/orchidrail/logstream/tests/test_group_commit.py
@@ -1,4 +1,4 @@
-"""Tests of many records in one append, with lost acknowledgements."""
+"""Tests of batched appends and lost acknowledgements."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class ScriptedLog:
-    """A log that answers appends from a list, the last for ever."""
+    """Answers appends from a list, then repeats the last answer."""
 
-    #: Turns of the event loop that an append takes.
-    turns = 1
+    #: Event loop iterations that an append takes.
+    loop_iterations = 1
 
     def __init__(self, *answers: Result[Offset, LogFailure]) -> None:
         self.payloads: list[str] = []
@@ -27,7 +27,7 @@
         stream: str,
         payload: str,
     ) -> Result[Offset, LogFailure]:
-        for _ in range(self.turns):
+        for _ in range(self.loop_iterations):
             await asyncio.sleep(0)
         self.payloads.append(payload)
         if len(self._answers) > 1:
@@ -44,13 +44,13 @@
 
 
 class InstantLog(ScriptedLog):
-    """A log during whose appends nobody gives up."""
+    """Answers at once, so that no caller times out during an append."""
 
-    turns = 0
+    loop_iterations = 0
 
 
-class SilentLog(ScriptedLog):
-    """A log that answers no append."""
+class UnresponsiveLog(ScriptedLog):
+    """Never answers an append."""
 
     async def append(
         self,
@@ -68,7 +68,7 @@
         records: tuple[str, ...],
         patience: float = 0.05,
     ) -> list[Result[Offset, LogFailure]]:
-        """Commit records at one moment and return their outcomes."""
+        """Commit records concurrently and return their outcomes."""
 
         async def scenario() -> list[Result[Offset, LogFailure]]:
             loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
 
         return self.run_async(scenario())
 
-    def test_records_of_one_moment_share_an_append(self) -> None:
+    def test_concurrent_records_share_an_append(self) -> None:
         log = ScriptedLog(Ok(Offset(7)))
         outcomes = self.commit(log, ('a', 'b', 'c'))
         self.assertEqual([Ok(7), Ok(7), Ok(7)], outcomes)
@@ -99,24 +99,24 @@
             outcomes = self.commit(InstantLog(Err(failure)), ('a',))
             self.assert_err(outcomes[0], expected)
 
-    def test_what_is_given_up_during_its_append_may_be_kept(self) -> None:
-        """Guards against a refusal while an append is under way."""
-        outcomes = self.commit(SilentLog(Ok(Offset(3))), ('a',))
+    def test_timeout_during_append_is_uncertain(self) -> None:
+        """A timeout during an append must not report ``NOT_SENT``."""
+        outcomes = self.commit(UnresponsiveLog(Ok(Offset(3))), ('a',))
         self.assert_err(outcomes[0], LogFailure.ANSWER_LOST)
 
-    def test_a_refusal_after_a_lost_answer_stays_unsure(self) -> None:
+    def test_refusal_after_lost_answer_is_uncertain(self) -> None:
         log = ScriptedLog(
             Err(LogFailure.ANSWER_LOST),
             Err(LogFailure.REFUSED),
         )
         self.assert_err(self.commit(log, ('a',))[0], LogFailure.ANSWER_LOST)
 
-    def test_a_lost_acknowledgement_is_tried_again(self) -> None:
+    def test_lost_acknowledgement_is_retried(self) -> None:
         log = ScriptedLog(Err(LogFailure.ANSWER_LOST), Ok(Offset(3)))
         self.assertEqual([Ok(3)], self.commit(log, ('a',), patience=5))
         self.assertEqual(log.payloads[0], log.payloads[1])
 
-    def test_what_was_given_up_is_not_sent_later(self) -> None:
+    def test_timed_out_record_is_not_sent_later(self) -> None:
         async def scenario() -> list[str]:
             log = ScriptedLog(Err(LogFailure.REFUSED))
             loop = asyncio.get_running_loop()
