--- a/orchidrail/logservice/__init__.py
+++ b/orchidrail/logservice/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services as narrow ports, and their HTTP adapters."""
+"""Ports to the platform's services and their HTTP adapters."""
--- a/orchidrail/logservice/http.py
+++ b/orchidrail/logservice/http.py
@@ -1,4 +1,4 @@
-"""Adapters to the platform's services over HTTP."""
+"""HTTP adapters of the platform's services."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 from orchidrail.logservice.ports import Instance, LogFailure, LogPage
 from orchidrail.types import Offset, Seconds, ZoneId
 
-_TIMEOUT: Seconds = 3
-_OK = 200
+_REQUEST_TIMEOUT: Seconds = 3
+_HTTP_OK = 200
 
 
 class _Appended(msgspec.Struct):
@@ -18,20 +18,22 @@
 
 
 class HttpPlatform:
-    """The log and the instance list over HTTP; fits both ports.
+    """HTTP client of the log and the instance list.
+
+    Implements `ConfigurationLog` and `InstanceList`.
 
     Parameters
     ----------
     base_url : str
-        Where the platform is, by IP number.
+        URL of the platform, with an IP address as host.
     """
 
     def __init__(self, base_url: str) -> None:
-        """Open no connection yet."""
+        """Create the client; connections open on the first request."""
         limits = httpx.Limits(max_connections=8)
         self._client = httpx.AsyncClient(
             base_url=base_url,
-            timeout=_TIMEOUT,
+            timeout=_REQUEST_TIMEOUT,
             limits=limits,
             trust_env=False,
         )
@@ -42,8 +44,8 @@
         payload: str,
     ) -> Result[Offset, LogFailure]:
         """See `ConfigurationLog.append`."""
-        sent = self._send('POST', f'/streams/{stream}', payload)
-        body = await sent
+        sending = self._send('POST', f'/streams/{stream}', payload)
+        body = await sending
         return body.map(
             lambda raw: msgspec.json.decode(raw, type=_Appended).offset,
         )
@@ -77,11 +79,11 @@
         content: str | None = None,
     ) -> Result[bytes, LogFailure]:
         try:
-            answer = await self._client.request(method, path, content=content)
+            response = await self._client.request(method, path, content=content)
         except (httpx.ConnectError, httpx.ConnectTimeout, httpx.PoolTimeout):
             return Err(LogFailure.NOT_SENT)
         except httpx.HTTPError:
             return Err(LogFailure.ANSWER_LOST)
-        if answer.status_code != _OK:
+        if response.status_code != _HTTP_OK:
             return Err(LogFailure.REFUSED)
-        return Ok(answer.content)
+        return Ok(response.content)
--- a/orchidrail/logservice/ports.py
+++ b/orchidrail/logservice/ports.py
@@ -1,4 +1,4 @@
-"""Ports to the platform; each has a contract test for every adapter."""
+"""Ports to the platform; contract tests cover every adapter."""
 
 from __future__ import annotations
 
@@ -22,16 +22,16 @@
 class LogFailure(Enum):
     """How a call to the log failed."""
 
-    #: The log can't have got the call.
+    #: The log can't have received the call.
     NOT_SENT = 'notSent'
     #: The call may have taken effect.
     ANSWER_LOST = 'answerLost'
-    #: The log said no: too many appends, or it is down.
+    #: The log rejected the call: rate limit exceeded, or it is down.
     REFUSED = 'refused'
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One record of a stream; `at` is the log's wall clock, seconds."""
+    """One record of a stream; `at` is the log's wall time in seconds."""
 
     offset: Offset
     at: Seconds
@@ -39,9 +39,10 @@
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Records from one offset on.
+    """Consecutive records of a stream.
 
-    `first` is the oldest offset still kept, `end` the next to be given.
+    `first` is the oldest offset still retained, `end` the next offset to be
+    assigned.
     """
 
     records: list[LogRecord]
@@ -50,7 +51,7 @@
 
 
 class ConfigurationLog(Protocol):
-    """Append-only streams of records with offsets."""
+    """Append-only streams of records, each addressed by its offset."""
 
     async def append(
         self,
@@ -65,11 +66,11 @@
         start: Offset,
         limit: int,
     ) -> Result[LogPage, LogFailure]:
-        """Return at most `limit` records from `start`, or from the first."""
+        """Return at most `limit` records from `start`, or the oldest kept."""
 
 
 class Instance(msgspec.Struct, frozen=True, rename='camel'):
-    """One upstream instance as the platform lists it."""
+    """One upstream instance, as listed by the platform."""
 
     name: WorkerId
     zone: ZoneId
@@ -80,7 +81,7 @@
 
 
 class InstanceList(Protocol):
-    """Live and leaving instances; the list lags."""
+    """List of live and leaving instances; it may be out of date."""
 
     async def fetch(self, zone: ZoneId) -> Result[list[Instance], LogFailure]:
         """Return the upstream instances of one zone."""
--- a/orchidrail/logservice/tests/test_contract.py
+++ b/orchidrail/logservice/tests/test_contract.py
@@ -1,4 +1,4 @@
-"""Contract of the platform's ports: every adapter passes the same cases."""
+"""Contract tests of the platform's ports, run on every adapter."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Platform(NamedTuple):
-    """An adapter under test, with the machine behind it."""
+    """An adapter under test and the simulated log behind it."""
 
     log: ConfigurationLog
     instances: InstanceList
@@ -69,9 +69,9 @@
 
 
 class ContractTest(AsyncTestCase):
-    """Each test runs on each adapter."""
+    """Cases that every adapter must pass."""
 
-    def on_each(self, scenario) -> None:  # type: ignore[no-untyped-def]
+    def run_on_each_adapter(self, scenario) -> None:  # type: ignore[no-untyped-def]
         """Run a scenario on every adapter."""
         for adapter in (_in_memory, _over_http):
 
@@ -81,7 +81,7 @@
 
             self.run_async(run())
 
-    def test_offsets_grow_by_one_in_each_stream(self) -> None:
+    def test_offsets_are_consecutive_per_stream(self) -> None:
         async def scenario(platform: Platform) -> None:
             for expected in range(3):
                 offset = self.assert_ok(await platform.log.append('a', 'x'))
@@ -89,9 +89,9 @@
             other = self.assert_ok(await platform.log.append('b', 'x'))
             self.assertEqual(0, other)
 
-        self.on_each(scenario)
+        self.run_on_each_adapter(scenario)
 
-    def test_reads_begin_where_they_are_asked_to(self) -> None:
+    def test_read_honours_start_and_limit(self) -> None:
         async def scenario(platform: Platform) -> None:
             for text in ('p', 'q', 'r'):
                 await platform.log.append('a', text)
@@ -101,9 +101,9 @@
             short = self.assert_ok(await platform.log.read('a', Offset(0), 1))
             self.assertEqual(['p'], [one.payload for one in short.records])
 
-        self.on_each(scenario)
+        self.run_on_each_adapter(scenario)
 
-    def test_a_trimmed_prefix_is_told(self) -> None:
+    def test_read_reports_trimmed_prefix(self) -> None:
         async def scenario(platform: Platform) -> None:
             await platform.log.append('a', 'old')
             platform.machine.retention = -1
@@ -111,9 +111,9 @@
             self.assertEqual([], page.records)
             self.assertEqual((1, 1), (page.first, page.end))
 
-        self.on_each(scenario)
+        self.run_on_each_adapter(scenario)
 
-    def test_a_log_that_is_down_refuses(self) -> None:
+    def test_unavailable_log_refuses_calls(self) -> None:
         async def scenario(platform: Platform) -> None:
             platform.machine.faults = LogFaults(down=True)
             appended = await platform.log.append('a', 'x')
@@ -121,9 +121,9 @@
             self.assert_err(appended, LogFailure.REFUSED)
             self.assert_err(read, LogFailure.REFUSED)
 
-        self.on_each(scenario)
+        self.run_on_each_adapter(scenario)
 
-    def test_appends_above_the_rate_are_refused(self) -> None:
+    def test_appends_above_rate_limit_are_refused(self) -> None:
         async def scenario(platform: Platform) -> None:
             outcomes = [await platform.log.append('a', 'x') for _ in range(101)]
             refused = [one for one in outcomes if not isinstance(one, Ok)]
@@ -135,15 +135,15 @@
 
         self.run_async(run())
 
-    def test_the_list_tells_state_and_rack(self) -> None:
+    def test_instance_list_holds_state_and_rack(self) -> None:
         async def scenario(platform: Platform) -> None:
             zone = ZoneId('hall-1')
             listed = self.assert_ok(await platform.instances.fetch(zone))
             self.assertEqual([_INSTANCE], listed)
 
-        self.on_each(scenario)
+        self.run_on_each_adapter(scenario)
 
-    def test_a_platform_that_is_away_can_not_have_got_the_call(self) -> None:
+    def test_refused_connection_is_not_sent(self) -> None:
         async def scenario() -> None:
             bound = listen('127.0.0.1:0')
             port = bound.getsockname()[1]
@@ -155,6 +155,6 @@
 
         self.run_async(scenario())
 
-    def test_an_instance_survives_the_encoding(self) -> None:
+    def test_instance_round_trips_through_json(self) -> None:
         raw = msgspec.json.encode(_INSTANCE)
         self.assertEqual(_INSTANCE, msgspec.json.decode(raw, type=Instance))
