--- a/orchidrail/wire/__init__.py
+++ b/orchidrail/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between the processes, their encoding and their transport."""
+"""Messages between processes, their encoding and transport."""
--- a/orchidrail/wire/codec.py
+++ b/orchidrail/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encoding of messages with Cap'n Proto."""
+"""Cap'n Proto encoding of messages."""
 
 from __future__ import annotations
 
@@ -11,32 +11,36 @@
 from orchidrail.wire.messages import ENVELOPE_TYPES, Message
 
 _SCHEMA_FILE = pathlib.Path(__file__).with_name('schema.capnp')
-#: Bytes shown of a frame that holds no message.
-_SHOWN = 32
+#: Maximum bytes of a malformed frame in an error message.
+_MAX_SHOWN_BYTES = 32
 _schema: Any = capnp.load(str(_SCHEMA_FILE))
 
 
-def _member_name(kind: type[Message]) -> str:
-    return kind.__name__[0].lower() + kind.__name__[1:]
+def _member_name(message_type: type[Message]) -> str:
+    return message_type.__name__[0].lower() + message_type.__name__[1:]
 
 
-_name_by_type = {kind: _member_name(kind) for kind in ENVELOPE_TYPES}
-_type_by_name = {name: kind for kind, name in _name_by_type.items()}
+_name_by_type = {
+    message_type: _member_name(message_type) for message_type in ENVELOPE_TYPES
+}
+_type_by_name = {
+    name: message_type for message_type, name in _name_by_type.items()
+}
 
 
 class Envelope(NamedTuple):
-    """A message with the number that pairs a request and its answer."""
+    """A message with the id that correlates a request and its answer."""
 
     correlation: int
     message: Message
 
 
 class CodecError(ValueError):
-    """Bytes that don't hold a message of this version."""
+    """Raised if bytes are not a valid message of this version."""
 
 
 def encode(correlation: int, message: Message) -> bytes:
-    """Encode a message, packed.
+    """Encode a message in the packed format.
 
     Examples
     --------
@@ -55,21 +59,21 @@
 
 
 def decode(frame: bytes) -> Envelope:
-    """Decode what `encode` made.
+    """Decode a frame made by `encode`.
 
     Raises
     ------
     CodecError
-        If the bytes hold no message.
+        If the bytes are not a valid message.
     """
     try:
         envelope = _schema.Envelope.from_bytes_packed(frame)
         name = envelope.body.which()
         fields = getattr(envelope.body, str(name)).to_dict()
     except Exception as error:
-        # pycapnp raises its own KjException as well as plain ones here.
+        # pycapnp raises KjException as well as built-in exceptions.
         raise CodecError(
-            f'expected a message, got {frame[:_SHOWN]!r}'
+            f'expected a message, got {frame[:_MAX_SHOWN_BYTES]!r}'
         ) from error
-    kind = _type_by_name[str(name)]
-    return Envelope(envelope.correlation, msgspec.convert(fields, kind))
+    message_type = _type_by_name[str(name)]
+    return Envelope(envelope.correlation, msgspec.convert(fields, message_type))
--- a/orchidrail/wire/messages.py
+++ b/orchidrail/wire/messages.py
@@ -1,8 +1,8 @@
-"""Every message that crosses a process boundary, as typed records.
+"""All messages between processes, as typed records.
 
 ``schema.capnp`` is generated from this module by ``tools/generate_schema.py``
 and committed. Fields may be appended to a message, never moved or removed.
-Durations are seconds; they count from when the receiver got the message.
+Durations are in seconds and count from the receipt of the message.
 """
 
 from __future__ import annotations
@@ -39,10 +39,10 @@
 
 
 class TaskSpec(Message, frozen=True):
-    """What a worker needs to run one attempt of a task.
+    """Specification of one attempt of a task, as sent to a worker.
 
-    `key` is the task's identity at the worker: a key that the worker has
-    seen is answered with its record and never started again.
+    `key` identifies the task at the worker: for a known key, the worker
+    returns its record and never starts the task again.
     """
 
     key: TaskId
@@ -50,7 +50,7 @@
     class_name: ClassName
     size: Resources = NOTHING
     payload: str = ''
-    #: How long the worker may run the task on without hearing of it.
+    #: How long the worker may run the task without a lease renewal.
     ttl: float = 0
     job: JobId = JobId('')
     generation: int = 0
@@ -60,7 +60,7 @@
 
 
 class TaskReport(Message, frozen=True):
-    """What a worker knows of one task."""
+    """State of one task, as known to its worker."""
 
     key: TaskId
     state: TaskState
@@ -76,7 +76,7 @@
 
 
 class Refusal(Message, frozen=True):
-    """A refusal: nothing was done for the message that it answers."""
+    """The message was rejected without any effect."""
 
     code: RefusalCode
     detail: str = ''
@@ -85,7 +85,7 @@
 
 
 class Ack(Message, frozen=True):
-    """The message was carried out; there is nothing to tell."""
+    """The message was carried out; there is no result."""
 
 
 class Hello(Message, frozen=True):
@@ -96,14 +96,14 @@
 
 
 class AcquireLease(Message, frozen=True):
-    """Ask a worker for its lease."""
+    """Request the lease of a worker."""
 
     holder: SchedulerId
     ttl: float
 
 
 class LeaseGranted(Message, frozen=True):
-    """The worker's lease is held; `tasks` is all that the worker knows."""
+    """The lease was granted; `tasks` lists all tasks known to the worker."""
 
     epoch: Epoch
     sequence: int
@@ -113,17 +113,17 @@
 
 
 class RenewLease(Message, frozen=True):
-    """Renew a lease and carry out a batch of small changes under it.
+    """Renew a worker's lease and apply a batch of small changes under it.
 
-    The own leases of all running tasks of jobs are renewed with it: the
-    holder has adopted each of them.
+    This also renews the task leases of all running job tasks, as the holder
+    has adopted each of them.
     """
 
     holder: SchedulerId
     epoch: Epoch
     sequence: int
     ttl: float
-    #: Tasks whose state is asked for; an unknown one will never start.
+    #: Tasks whose state is requested; unknown ones will never start.
     settle: list[TaskId] = []
     #: Ended tasks and markers that the worker may forget.
     forget: list[TaskId] = []
@@ -132,7 +132,7 @@
 
 
 class LeaseRenewed(Message, frozen=True):
-    """The lease runs on; `tasks` holds what was asked for or has ended."""
+    """The lease was renewed; `tasks` holds requested and ended tasks."""
 
     sequence: int
     tasks: list[TaskReport]
@@ -141,14 +141,14 @@
 
 
 class ReleaseLease(Message, frozen=True):
-    """Give a worker's lease back before it lapses."""
+    """Release the lease of a worker before it expires."""
 
     holder: SchedulerId
     epoch: Epoch
 
 
 class StartTask(Message, frozen=True):
-    """Start a task under a lease; `wait` asks for its answer, too."""
+    """Start a task under a lease; `wait` also waits for its answer."""
 
     task: TaskSpec
     epoch: Epoch
@@ -165,10 +165,10 @@
 
 
 class TaskReports(Message, frozen=True):
-    """One report for each task that was asked about, in that order."""
+    """One report for each requested task, in the order of the request."""
 
     tasks: list[TaskReport]
-    #: The worker's start that answers.
+    #: Boot id of the worker that answers.
     boot: str = ''
 
 
@@ -181,10 +181,10 @@
 
 
 class SettleTasks(Message, frozen=True):
-    """Ask, without a lease, what became of tasks.
+    """Query the outcome of tasks without a lease.
 
-    A task that the worker doesn't know will never be started by it. A worker
-    that was restarted since `boot` refuses.
+    The worker will never start a task that it doesn't know. A worker that
+    was restarted since `boot` refuses.
     """
 
     keys: list[TaskId]
@@ -192,10 +192,10 @@
 
 
 class KeepMarkers(Message, frozen=True):
-    """Put markers without a lease, as copies of claims made elsewhere.
+    """Store markers without a lease, as copies of claims made elsewhere.
 
-    Refused for generations that were fenced off, and by a worker that was
-    restarted since `boot`.
+    Refused for fenced generations and by a worker that was restarted since
+    `boot`.
     """
 
     tasks: list[TaskSpec]
@@ -203,7 +203,7 @@
 
 
 class FenceJob(Message, frozen=True):
-    """Refuse a job's older generations; list what is known of the job.
+    """Fence off older generations of a job; return its known tasks.
 
     A worker that was restarted since `boot` refuses, unless `boot` is empty.
     """
@@ -214,20 +214,20 @@
 
 
 class GrantRequest(Message, frozen=True):
-    """A gateway asks for room for one short request."""
+    """A gateway requests capacity for one short request."""
 
     tenant: TenantId
     class_name: ClassName
     size: Resources
-    #: How long the caller is ready to wait for a place.
+    #: How long the caller waits for placement.
     patience: float
     key: RequestKey = RequestKey('')
-    #: Workers that this request must avoid, having failed there.
+    #: Workers to avoid, as this request has failed on them.
     avoid: list[WorkerId] = []
 
 
 class Grant(Message, frozen=True):
-    """Room for one short request on one worker, for a short while."""
+    """Short-lived grant of capacity on one worker for one request."""
 
     task: TaskId
     worker: WorkerId
@@ -239,26 +239,26 @@
 
 
 class TasksEnded(Message, frozen=True):
-    """Ends of tasks, as their workers told the sender."""
+    """Final reports of tasks, as the sender received them from workers."""
 
     tasks: list[TaskReport]
 
 
 class KeyRequest(Message, frozen=True):
-    """A gateway asks for a key that names a worker as its witness."""
+    """A gateway requests a key that names a worker as its witness."""
 
     tenant: TenantId
     class_name: ClassName
 
 
 class KeyIssued(Message, frozen=True):
-    """A key for one request that may not be repeated."""
+    """A key for one request that must not be executed twice."""
 
     key: RequestKey
 
 
 class JobSpec(Message, frozen=True):
-    """A job as its caller submitted it."""
+    """A job as submitted by its caller."""
 
     key: JobId
     tenant: TenantId
@@ -275,7 +275,7 @@
 
 
 class JobStatus(Message, frozen=True):
-    """What is known of a job."""
+    """Known status of a job."""
 
     key: JobId
     state: JobState
@@ -289,28 +289,28 @@
 
 
 class SubmitJob(Message, frozen=True):
-    """Accept a job for good; answered once its record is in the log."""
+    """Submit a job; answered once its record is durable in the log."""
 
     job: JobSpec
     patience: float
 
 
 class QueryJob(Message, frozen=True):
-    """Ask for the status of a tenant's job."""
+    """Request the status of a tenant's job."""
 
     job: JobId
     tenant: TenantId
 
 
 class CancelJob(Message, frozen=True):
-    """Cancel a job."""
+    """Cancel a tenant's job."""
 
     job: JobId
     tenant: TenantId
 
 
 class ReservePlace(Message, frozen=True):
-    """Ask another holder to keep room for one task for a short while."""
+    """Request a short reservation for one task from another holder."""
 
     task: TaskId
     tenant: TenantId
@@ -320,7 +320,7 @@
 
 
 class PlaceReserved(Message, frozen=True):
-    """Room is kept on one worker; `token` is good for one start."""
+    """Capacity is reserved on one worker; `token` is valid for one start."""
 
     token: str
     worker: WorkerId
@@ -330,20 +330,20 @@
 
 
 class StartReserved(Message, frozen=True):
-    """Start a task in the room that was kept under a token."""
+    """Start a task in the capacity reserved under a token."""
 
     task: TaskSpec
     token: str
 
 
 class DropReservation(Message, frozen=True):
-    """Give back room that was kept, if its task wasn't started."""
+    """Release a reservation, unless its task was started."""
 
     token: str
 
 
 class RelayTasks(Message, frozen=True):
-    """Ask the holder of a worker to settle, stop or forget tasks.
+    """Request the holder of a worker to settle, stop or forget tasks.
 
     Refused if the worker was restarted since `boot`.
     """
@@ -356,7 +356,7 @@
 
 
 class MemberState(Message, frozen=True):
-    """What one scheduler tells of itself."""
+    """State that a scheduler reports about itself."""
 
     name: SchedulerId
     address: Address
@@ -367,14 +367,14 @@
     bundle: BundleVersion = BundleVersion(0)
     queued: int = 0
     held: int = 0
-    #: The largest room on any one worker held.
+    #: Largest free capacity on any one held worker.
     largest_free: Resources = NOTHING
-    #: The largest of its workers that take new work, however full.
+    #: Largest total capacity of a held worker that accepts new work.
     largest_open: Resources = NOTHING
 
 
 class ZoneDigest(Message, frozen=True):
-    """One line about a whole zone, of constant size."""
+    """Summary of a zone, of constant size."""
 
     zone: ZoneId
     beat: float
@@ -385,7 +385,7 @@
 
 
 class Gossip(Message, frozen=True):
-    """A periodic exchange between two schedulers; it steers only."""
+    """Periodic exchange between two schedulers; a hint, never authoritative."""
 
     members: list[MemberState]
     digests: list[ZoneDigest] = []
@@ -394,13 +394,13 @@
 
 
 class FetchBundle(Message, frozen=True):
-    """Ask a peer for its bundle if it is newer."""
+    """Request the bundle of a peer if it is newer."""
 
     newer_than: BundleVersion
 
 
 class BundleSnapshot(Message, frozen=True):
-    """A bundle in force with the signatures that allow it (JSON)."""
+    """The active bundle with the signatures that authorize it (JSON)."""
 
     version: BundleVersion
     offset: Offset
@@ -408,7 +408,7 @@
 
 
 class QueryStatus(Message, frozen=True):
-    """Ask a daemon for its status."""
+    """Request the status of a daemon."""
 
 
 class Status(Message, frozen=True):
@@ -418,7 +418,7 @@
 
 
 class WorkerHolder(Message, frozen=True):
-    """Which scheduler of the zone holds a worker, as far as is known."""
+    """Scheduler of the zone that holds a worker, as far as known."""
 
     worker: WorkerId
     holder: SchedulerId
@@ -428,49 +428,49 @@
 
 
 class QueryHolder(Message, frozen=True):
-    """Ask which scheduler holds a worker."""
+    """Request which scheduler holds a worker."""
 
     worker: WorkerId
 
 
 class DrainWorker(Message, frozen=True):
-    """Give a worker no new work from now on."""
+    """Stop placing new work on a worker."""
 
     worker: WorkerId
 
 
 class PeerState(Message, frozen=True):
-    """What a process of the system tells of itself, asked or answering.
+    """State that an instance reports about itself, in pings and answers.
 
-    `owner_address` is empty while the sender knows of no owner of the shard.
+    `owner_address` is empty while the sender knows no owner of the shard.
     """
 
     name: InstanceId
     address: Address
     zone: str
     incarnation: str
-    #: Processor of its machine, in cores.
+    #: Processing capacity of the instance, in cores.
     speed: float = 1
-    #: Whether its own calls to the store are answered.
+    #: Whether its own calls to the store succeed.
     store_answers: bool = False
-    #: Epoch of the shard's owner as far as the sender knows.
+    #: Epoch of the shard's owner, as known to the sender.
     epoch: Epoch = Epoch(0)
     owner: InstanceId = InstanceId('')
     owner_address: Address = Address('')
-    #: Whether the sender is that owner, at work.
+    #: Whether the sender is that owner and active.
     owning: bool = False
-    #: Waiting jobs by queue, told by the owner only.
+    #: Waiting jobs by queue; reported by the owner only.
     queues: list[str] = []
     waiting: list[int] = []
-    #: Version of the configuration that it has in force.
+    #: Version of its active configuration.
     config_version: int = 0
 
 
 class SubmitWork(Message, frozen=True):
-    """Hand a job to the shard's owner; both records are in MessagePack.
+    """Submit a job to the shard's owner; both records are in MessagePack.
 
-    `patience` is how many seconds its caller waits for the answer; `tenant` is
-    empty where callers need no key.
+    `patience` is the caller's time budget in seconds; `tenant` is empty where
+    callers need no key.
     """
 
     job_id: JobId
@@ -481,9 +481,9 @@
 
 
 class QueryWork(Message, frozen=True):
-    """Ask the shard's owner for a job's state.
+    """Request the state of a job from the shard's owner.
 
-    `tenant` names whose job it is to be; empty for anybody's.
+    `tenant` is the expected tenant of the job; empty matches any tenant.
     """
 
     job_id: JobId
@@ -498,9 +498,9 @@
 
 
 class WorkAnswer(Message, frozen=True):
-    """The owner's word on a job; `phase` is a number of `JobPhase`.
+    """The owner's answer about a job; `phase` is a value of `JobPhase`.
 
-    `cause` is a word of `FailureCause`, empty unless the job was given up.
+    `cause` is a value of `FailureCause`, empty unless the job failed.
     """
 
     code: WorkCode
@@ -510,7 +510,7 @@
 
 
 class RelayCall(Message, frozen=True):
-    """Make this call to the store for a process that can't reach it."""
+    """Relay a call to the store for an instance that can't reach it."""
 
     method: str
     target: str
@@ -528,7 +528,7 @@
 
 
 class AskAdvice(Message, frozen=True):
-    """Ask the advice service which workers may run a step."""
+    """Request from the advice service which workers may run a step."""
 
     step_key: str
     workers: list[WorkerName]
@@ -536,7 +536,7 @@
 
 
 class AdviceGiven(Message, frozen=True):
-    """Tickets of the workers that may; `known` is false without an answer."""
+    """Tickets of permitted workers; `known` is false without an answer."""
 
     known: bool
     workers: list[WorkerName] = []
@@ -545,12 +545,12 @@
 
 
 class TakeOver(Message, frozen=True):
-    """Ask a peer to take the shard over from the owner of `epoch`."""
+    """Request that a peer take over the shard from the owner of `epoch`."""
 
     epoch: Epoch
 
 
-#: Messages that may stand alone on the wire, in the order of their ordinals.
+#: Messages that may be sent on their own, in the order of their ordinals.
 ENVELOPE_TYPES: tuple[type[Message], ...] = (
     Refusal,
     Ack,
--- a/orchidrail/wire/tests/test_codec.py
+++ b/orchidrail/wire/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests of the encoding and of calls over TCP."""
+"""Tests of the message encoding and of calls over TCP."""
 
 from __future__ import annotations
 
@@ -21,22 +21,22 @@
 
 
 class CodecTest(AsyncTestCase):
-    def test_the_schema_is_the_generated_one(self) -> None:
+    def test_committed_schema_is_up_to_date(self) -> None:
         self.assertEqual(SchemaWriter().render(), SCHEMA_FILE.read_text())
 
-    def test_bytes_that_are_no_message_are_told(self) -> None:
+    def test_malformed_frames_raise_codec_error(self) -> None:
         for frame in (b'', b'\x00', b'x' * 40, bytes(range(64))):
             self.assertRaises(CodecError, decode, frame)
 
 
 class TransportTest(AsyncTestCase):
     async def serve(self, handler, key: str = _KEY):  # type: ignore[no-untyped-def]
-        """Start a server; return it with its address and a client."""
+        """Start a server; return it, its address and a client."""
         server = MessageServer(handler, TrafficCounter(), _KEY)
         address = await server.start('127.0.0.1', 0)
         return server, address, TcpTransport('test', key)
 
-    def test_crossed_answers_reach_their_callers(self) -> None:
+    def test_out_of_order_answers_reach_their_callers(self) -> None:
         async def handle(message: Message) -> Message:
             number = int(message.worker)
             await asyncio.sleep((10 - number) / 500)
@@ -56,7 +56,7 @@
 
         self.run_async(scenario())
 
-    def test_a_late_answer_is_dropped_and_counted(self) -> None:
+    def test_late_answer_is_dropped_and_counted(self) -> None:
         async def handle(message: Message) -> Message:
             await asyncio.sleep(0.1)
             return Ack()
@@ -72,7 +72,7 @@
 
         self.run_async(scenario())
 
-    def test_a_wrong_cluster_key_is_refused(self) -> None:
+    def test_wrong_cluster_key_is_rejected(self) -> None:
         async def handle(message: Message) -> Message:
             await asyncio.sleep(0)
             raise AssertionError('nothing may be handled')
@@ -86,7 +86,7 @@
 
         self.run_async(scenario())
 
-    def test_a_closed_connection_is_opened_again(self) -> None:
+    def test_closed_connection_is_reopened(self) -> None:
         async def handle(message: Message) -> Message:
             await asyncio.sleep(0)
             return Ack()
@@ -95,14 +95,14 @@
             server, address, client = await self.serve(handle)
             await client.call(address, Ack(), 1)
             await server.close()
-            gone = await client.call(address, Ack(), 1)
-            self.assertNotEqual(Ok(Ack()), gone)
+            failed = await client.call(address, Ack(), 1)
+            self.assertNotEqual(Ok(Ack()), failed)
             host, port = address.rsplit(':', 1)
-            again = MessageServer(handle, TrafficCounter(), _KEY)
-            await again.start(host, int(port))
-            back = await client.call(Address(address), Ack(), 1)
-            self.assertEqual(Ok(Ack()), back)
+            restarted_server = MessageServer(handle, TrafficCounter(), _KEY)
+            await restarted_server.start(host, int(port))
+            recovered = await client.call(Address(address), Ack(), 1)
+            self.assertEqual(Ok(Ack()), recovered)
             await client.close()
-            await again.close()
+            await restarted_server.close()
 
         self.run_async(scenario())
--- a/orchidrail/wire/transport.py
+++ b/orchidrail/wire/transport.py
@@ -1,8 +1,8 @@
-"""Calls between processes over TCP: the port and its real adapter.
+"""Calls between processes: the transport port and its TCP adapter.
 
-A frame is a four-byte length and one encoded envelope. Each connection is
-owned by one task; callers talk to it by futures in a table by correlation
-number. An answer whose caller has given up is dropped and counted.
+A frame is a four-byte big-endian length and one encoded envelope. One task
+reads each connection and resolves the callers' futures by correlation id. An
+answer whose caller has timed out is dropped and counted.
 """
 
 from __future__ import annotations
@@ -26,17 +26,18 @@
 
     Handler = Callable[[Message], Awaitable[Message]]
 
-#: Outcome of a call: the answer, or where the call failed.
+#: Outcome of a call: the answer, or how the call failed.
 CallResult = Result[Message, CallFailure]
 
 _LENGTH_BYTES = 4
-#: Longest frame taken, bytes; a longer one ends the connection.
+#: Maximum frame size in bytes; a longer frame ends the connection.
 MAX_FRAME = 8 * 1024 * 1024
 _CONNECT_TIMEOUT: Seconds = 1
-#: A connection on which a call has waited so long and nothing came at all is
-#: given up: after a cut, TCP would take seconds to try again.
-_SILENT_FOR: Seconds = 0.4
-#: Requests of one connection that may be in progress at one time.
+#: A connection is aborted if a call on it times out after at least this long
+#: and no frame arrived meanwhile: after a network partition, TCP would take
+#: seconds to retransmit.
+_UNRESPONSIVE_AFTER: Seconds = 0.4
+#: Maximum number of concurrent requests of one connection.
 _MAX_IN_PROGRESS = 4096
 _log = structlog.get_logger()
 
@@ -55,12 +56,12 @@
         Returns
         -------
         Ok with the answer, or Err: ``NOT_SENT`` only if the receiver can't
-        have got the message.
+        have received the message.
         """
 
 
 class TrafficCounter:
-    """Frames and bytes by message type and direction."""
+    """Counts frames and bytes by message type, in both directions."""
 
     def __init__(self) -> None:
         """Start from zero."""
@@ -75,7 +76,7 @@
         self.frames_by_type[name] += 1
 
     def total_bytes(self) -> int:
-        """Return all bytes counted, both ways."""
+        """Return the bytes of both directions."""
         return sum(self.bytes_by_type.values())
 
 
@@ -87,17 +88,17 @@
     CodecError
         If the frame is longer than `MAX_FRAME`.
     asyncio.IncompleteReadError
-        If the connection ended.
+        If the connection is closed.
     """
-    head = await reader.readexactly(_LENGTH_BYTES)
-    length = int.from_bytes(head, 'big')
+    header = await reader.readexactly(_LENGTH_BYTES)
+    length = int.from_bytes(header, 'big')
     if length > MAX_FRAME:
         raise CodecError(f'expected at most {MAX_FRAME} bytes, got {length!r}')
     return await reader.readexactly(length)
 
 
 def write_frame(writer: asyncio.StreamWriter, frame: bytes) -> None:
-    """Put one frame into the writer's buffer."""
+    """Write one frame to the buffer of `writer`."""
     writer.write(len(frame).to_bytes(_LENGTH_BYTES, 'big') + frame)
 
 
@@ -110,46 +111,49 @@
         writer: asyncio.StreamWriter,
         traffic: TrafficCounter,
     ) -> None:
-        """Take over both ends of a stream."""
+        """Own both ends of a stream and start reading answers."""
         self._reader = reader
         self._writer = writer
         self._traffic = traffic
-        self._numbers = itertools.count(1)
-        self._waiting_by_number: dict[int, asyncio.Future[Message]] = {}
-        self._frames_heard = 0
+        self._correlations = itertools.count(1)
+        self._answer_by_correlation: dict[int, asyncio.Future[Message]] = {}
+        self._frames_received = 0
         self._task = asyncio.create_task(self._read_answers())
 
     @property
     def closed(self) -> bool:
-        """Whether the connection has ended."""
+        """Whether the connection is closed or closing."""
         return self._task.done() or self._writer.is_closing()
 
     async def call(self, message: Message, timeout: Seconds) -> CallResult:
         """Send one message and wait for its answer."""
         if self.closed:
             return Err(CallFailure.NOT_SENT)
-        number = next(self._numbers)
-        frame = encode(number, message)
-        heard = self._frames_heard
+        correlation = next(self._correlations)
+        frame = encode(correlation, message)
+        received_before = self._frames_received
         self._traffic.add(message, len(frame))
         answer = asyncio.get_running_loop().create_future()
-        self._waiting_by_number[number] = answer
+        self._answer_by_correlation[correlation] = answer
         try:
             write_frame(self._writer, frame)
             return Ok(await asyncio.wait_for(answer, timeout))
         except (TimeoutError, asyncio.TimeoutError):
-            silent = self._frames_heard == heard and timeout >= _SILENT_FOR
-            if silent and not self.closed:
+            unresponsive = (
+                self._frames_received == received_before
+                and timeout >= _UNRESPONSIVE_AFTER
+            )
+            if unresponsive and not self.closed:
                 _log.info('connection given up', silent_for=timeout)
                 self._writer.transport.abort()
             return Err(CallFailure.ANSWER_LOST)
         except OSError:
             return Err(CallFailure.ANSWER_LOST)
         finally:
-            self._waiting_by_number.pop(number, None)
+            self._answer_by_correlation.pop(correlation, None)
 
     async def close(self) -> None:
-        """End the connection; calls in progress lose their answers."""
+        """Close the connection; calls in flight fail with a lost answer."""
         self._task.cancel()
         with suppress(asyncio.CancelledError):
             await self._task
@@ -160,44 +164,44 @@
             while True:
                 self._deliver(await read_frame(self._reader))
         except (OSError, EOFError, CodecError):
-            _log.debug('connection ended')
+            _log.debug('connection closed')
         finally:
-            self._fail_all()
+            self._fail_pending_calls()
             self._writer.close()
 
     def _deliver(self, frame: bytes) -> None:
-        number, message = decode(frame)
-        self._frames_heard += 1
+        correlation, message = decode(frame)
+        self._frames_received += 1
         self._traffic.add(message, len(frame))
-        answer = self._waiting_by_number.pop(number, None)
+        answer = self._answer_by_correlation.pop(correlation, None)
         if answer is None or answer.done():
             self._traffic.late_answers += 1
             return
         answer.set_result(message)
 
-    def _fail_all(self) -> None:
-        for answer in self._waiting_by_number.values():
+    def _fail_pending_calls(self) -> None:
+        for answer in self._answer_by_correlation.values():
             if not answer.done():
                 answer.set_exception(ConnectionResetError())
 
 
 class TcpTransport:
-    """Calls over kept TCP connections, one to each address.
+    """Calls over persistent TCP connections, one per address.
 
     Parameters
     ----------
     name : str
-        What this process calls itself.
+        Name of this process.
     cluster_key : str
-        Shared by the daemons of one user; proves who calls.
+        Secret shared by the daemons of one user; authenticates callers.
     """
 
     def __init__(self, name: str, cluster_key: str) -> None:
-        """Start with no connection."""
+        """Create the transport; connections open on the first call."""
         self.traffic = TrafficCounter()
         self._hello = Hello(name=name, proof=prove(name, cluster_key))
         self._connection_by_address: dict[Address, Connection] = {}
-        self._opening_by_address: dict[Address, asyncio.Lock] = {}
+        self._lock_by_address: dict[Address, asyncio.Lock] = {}
 
     async def call(
         self,
@@ -219,7 +223,7 @@
         self._connection_by_address.clear()
 
     async def _connect(self, address: Address) -> Connection:
-        lock = self._opening_by_address.setdefault(address, asyncio.Lock())
+        lock = self._lock_by_address.setdefault(address, asyncio.Lock())
         async with lock:
             connection = self._connection_by_address.get(address)
             if connection is None or connection.closed:
@@ -232,22 +236,24 @@
         opening = asyncio.open_connection(host, int(port))
         reader, writer = await asyncio.wait_for(opening, _CONNECT_TIMEOUT)
         connection = Connection(reader, writer, self.traffic)
-        welcome = await connection.call(self._hello, _CONNECT_TIMEOUT)
-        if welcome != Ok(Ack()):
+        reply = await connection.call(self._hello, _CONNECT_TIMEOUT)
+        if reply != Ok(Ack()):
             await connection.close()
-            raise ConnectionRefusedError(f'{address!r} answered {welcome!r}')
+            raise ConnectionRefusedError(
+                f'expected Ack from {address!r}, got {reply!r}'
+            )
         return connection
 
 
 class MessageServer:
-    """Server side: answers each message by `handler`, each in its own task.
+    """Server side: runs `handler` for each message, in a task of its own.
 
     Parameters
     ----------
     handler : callable
-        Coroutine function from a message to its answer.
+        Coroutine function that maps a message to its answer.
     cluster_key : str, optional
-        If given, only connections that prove they know it are served.
+        If given, only connections that authenticate with it are served.
     """
 
     def __init__(
@@ -256,7 +262,7 @@
         traffic: TrafficCounter,
         cluster_key: str | None = None,
     ) -> None:
-        """Hold the handler; `start` opens the port."""
+        """Store the handler; `start` opens the port."""
         self._handler = handler
         self._traffic = traffic
         self._cluster_key = cluster_key
@@ -264,7 +270,7 @@
         self._stack = AsyncExitStack()
 
     async def start(self, host: str, port: int) -> Address:
-        """Listen and return the address, the port chosen if `port` is 0."""
+        """Listen and return the bound address; port 0 selects a free one."""
         server = await asyncio.start_server(self._serve, host, port)
         self._stack.push_async_callback(server.wait_closed)
         self._stack.callback(server.close)
@@ -272,7 +278,7 @@
         return Address(f'{bound[0]}:{bound[1]}')
 
     async def close(self) -> None:
-        """Stop listening and end what is in progress."""
+        """Stop listening and cancel requests in progress."""
         for task in tuple(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -289,7 +295,7 @@
         try:
             await self._serve_frames(reader, writer)
         except (OSError, EOFError, CodecError, asyncio.CancelledError):
-            _log.debug('caller left')
+            _log.debug('caller disconnected')
         finally:
             writer.close()
             self._tasks.discard(current)
@@ -299,32 +305,34 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
-        if not await self._welcome(reader, writer):
+        if not await self._handshake(reader, writer):
             return
         in_progress = asyncio.Semaphore(_MAX_IN_PROGRESS)
 
-        def end(task: asyncio.Task[None]) -> None:
+        def on_done(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
             in_progress.release()
 
         while True:
-            number, message = self._read(await read_frame(reader))
+            correlation, message = self._decode_counted(
+                await read_frame(reader)
+            )
             await in_progress.acquire()
-            answering = self._answer(number, message, writer)
+            answering = self._answer(correlation, message, writer)
             task = asyncio.create_task(answering)
             self._tasks.add(task)
-            task.add_done_callback(end)
+            task.add_done_callback(on_done)
 
-    async def _welcome(
+    async def _handshake(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> bool:
-        number, message = self._read(await read_frame(reader))
-        welcome = self._check_hello(message)
-        self._write(writer, number, welcome)
+        correlation, message = self._decode_counted(await read_frame(reader))
+        reply = self._check_hello(message)
+        self._write_counted(writer, correlation, reply)
         await writer.drain()
-        return isinstance(welcome, Ack)
+        return isinstance(reply, Ack)
 
     def _check_hello(self, message: Message) -> Message:
         if not isinstance(message, Hello):
@@ -334,37 +342,37 @@
         expected = prove(message.name, self._cluster_key)
         if hmac.compare_digest(expected, message.proof):
             return Ack()
-        _log.warning('wrong cluster key', caller=message.name)
+        _log.warning('caller has the wrong cluster key', caller=message.name)
         return Refusal(code=RefusalCode.UNAUTHORISED, detail='wrong key')
 
     async def _answer(
         self,
-        number: int,
+        correlation: int,
         message: Message,
         writer: asyncio.StreamWriter,
     ) -> None:
         answer = await self._handler(message)
         if not writer.is_closing():
-            self._write(writer, number, answer)
+            self._write_counted(writer, correlation, answer)
             with suppress(OSError):
                 await writer.drain()
 
-    def _read(self, frame: bytes) -> tuple[int, Message]:
-        number, message = decode(frame)
+    def _decode_counted(self, frame: bytes) -> tuple[int, Message]:
+        correlation, message = decode(frame)
         self._traffic.add(message, len(frame))
-        return number, message
+        return correlation, message
 
-    def _write(
+    def _write_counted(
         self,
         writer: asyncio.StreamWriter,
-        number: int,
+        correlation: int,
         message: Message,
     ) -> None:
-        frame = encode(number, message)
+        frame = encode(correlation, message)
         self._traffic.add(message, len(frame))
         write_frame(writer, frame)
 
 
 def prove(name: str, cluster_key: str) -> str:
-    """Return the proof that the process `name` knows the shared key."""
+    """Return the HMAC-SHA256 of `name` under the shared key, in hex."""
     return hmac.new(cluster_key.encode(), name.encode(), 'sha256').hexdigest()
