--- a/orchidrail/shard/advice_dispatcher.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -153,8 +153,8 @@
             queues.insert(0 if len(self._lanes) == 1 else 1, self._long_queue)
         elif self._long_may_start():
             queues.append(self._long_queue)
-        taken = (queue.take() for queue in queues)
-        return next(filter(None, taken), None)
+        dequeued = (queue.take() for queue in queues)
+        return next(filter(None, dequeued), None)
 
     def _long_is_overdue(self) -> bool:
         since = self._long_queue.oldest_since()
--- a/orchidrail/shard/advice_queue.py
+++ b/orchidrail/shard/advice_queue.py
@@ -91,7 +91,7 @@
         self.since = since
         self.request = request
         self.pending = pending
-        self.taken = False
+        self.dequeued = False
 
     def is_needed(self) -> bool:
         """Whether the reply is still awaited and needed."""
@@ -122,7 +122,7 @@
         ] = []
         self._by_age: deque[QueuedAdviceRequest] = deque()
         self._waiting = 0
-        self._taken = 0
+        self._dequeue_count = 0
 
     def __len__(self) -> int:
         """Return the number of queued requests."""
@@ -130,7 +130,7 @@
 
     def oldest_since(self) -> Seconds | None:
         """Return when the oldest request was queued, None if there is none."""
-        while self._by_age and self._by_age[0].taken:
+        while self._by_age and self._by_age[0].dequeued:
             self._by_age.popleft()
         return self._by_age[0].since if self._by_age else None
 
@@ -147,27 +147,27 @@
             oldest = self._oldest_is_next()
             queued = self._pop_oldest() if oldest else self._pop_most_urgent()
             self._waiting -= 1
-            queued.taken = True
+            queued.dequeued = True
             if queued.is_needed():
-                self._taken += 1
+                self._dequeue_count += 1
                 return queued
             queued.pending.end_call(None)
         return None
 
     def _oldest_is_next(self) -> bool:
-        if not (self._taken + 1) % _OLDEST_FIRST_INTERVAL:
+        if not (self._dequeue_count + 1) % _OLDEST_FIRST_INTERVAL:
             return True
         since = self.oldest_since()
         return since is not None and self._clock() - since > MAX_QUEUE_WAIT
 
     def _pop_most_urgent(self) -> QueuedAdviceRequest:
         queued = heapq.heappop(self._by_rank)[-1]
-        while queued.taken:
+        while queued.dequeued:
             queued = heapq.heappop(self._by_rank)[-1]
         return queued
 
     def _pop_oldest(self) -> QueuedAdviceRequest:
         queued = self._by_age.popleft()
-        while queued.taken:
+        while queued.dequeued:
             queued = self._by_age.popleft()
         return queued
--- a/orchidrail/shard/advice_requester.py
+++ b/orchidrail/shard/advice_requester.py
@@ -37,8 +37,8 @@
 #: Initial requests that may be queued per lane. More would only wait, and once
 #: these are sent, the steps are considered again, the most urgent first.
 _QUEUED_PER_LANE = 1
-#: The same for overdue steps, so that requests of other steps, repeated after
-#: each failed run, cannot fill the queue for good.
+#: The same for overdue steps, which may queue more: the ticket renewals of
+#: other steps, which follow every failed run, could fill the queue for good.
 _QUEUED_PER_LANE_OVERDUE = 3
 #: Factor on the number of workers that a gang would need if they were idle. It
 #: needs free capacity for all members at once, which few of its permitted
@@ -101,7 +101,7 @@
         missing: int,
         unchecked: list[TrackedWorker],
     ) -> None:
-        """Request advice on unchecked workers, those with free CPU first."""
+        """Request advice on unchecked workers, most free CPU first."""
         if not unchecked:
             return
         unchecked.sort(key=lambda tracked: -tracked.free.millicores)
@@ -143,10 +143,10 @@
         Parameters
         ----------
         missing : int
-            Tasks without a worker. As many more workers are checked, as long
-            as the call stays short: the next request follows only after the
-            reply, when they may have free capacity. A gang starts as a whole,
-            so one more is checked for each worker chosen.
+            Tasks without a worker. Tickets of as many more workers are renewed,
+            as long as the call stays short: the next request follows only
+            after the reply, and they may have free capacity by then. A gang
+            starts as a whole, so there is one more for each worker chosen.
         """
         held_by_worker: dict[WorkerId, Size] = defaultdict(Size)
         tracked_by_worker: dict[WorkerId, TrackedWorker] = {}
--- a/orchidrail/work/size.py
+++ b/orchidrail/work/size.py
@@ -43,16 +43,16 @@
             self[2] - other[2],
         )
 
-    def fits(self, room: Size) -> bool:
-        """Whether each component is at most that of `room`."""
+    def fits(self, capacity: Size) -> bool:
+        """Whether each component is at most that of `capacity`."""
         return (
-            self.millicores <= room.millicores
-            and self.megabytes <= room.megabytes
-            and self.accelerators <= room.accelerators
+            self.millicores <= capacity.millicores
+            and self.megabytes <= capacity.megabytes
+            and self.accelerators <= capacity.accelerators
         )
 
-    def copies_in(self, room: Size) -> int:
-        """Return how many copies of this size fit into `room`.
+    def copies_in(self, capacity: Size) -> int:
+        """Return how many copies of this size fit into `capacity`.
 
         Examples
         --------
@@ -61,7 +61,7 @@
         """
         counts = [
             whole // part
-            for part, whole in zip(self, room, strict=True)
+            for part, whole in zip(self, capacity, strict=True)
             if part > 0
         ]
         return max(0, min(counts, default=_UNLIMITED_COPIES))
