--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -71,7 +71,7 @@
         self.random = random
         writer = SimpleNamespace(
             owner=SimpleNamespace(epoch=Epoch(1)),
-            unconfirmed_for=lambda: 0,
+            time_since_confirmed=lambda: 0,
         )
         self.state = ShardState(
             cast('Any', writer), time.monotonic, time.time, InstanceMetrics()
@@ -137,7 +137,7 @@
     while True:
         while cell.placer.waiting_tasks() < _WAITING_TASKS:
             cell.add_job()
-            cell.placer._refresh()
+            cell.placer._refresh_waiting()
         before = len(cell.runs.placed)
         cell.placer.place_all()
         if len(cell.runs.placed) == before:
@@ -149,7 +149,7 @@
         cell.end_some()
         while cell.placer.waiting_tasks() < _WAITING_TASKS:
             cell.add_job()
-            cell.placer._refresh()
+            cell.placer._refresh_waiting()
         before = len(cell.runs.placed)
         began = time.process_time()
         cell.placer.place_all()
--- a/orchidrail/cli/wait_summary.py
+++ b/orchidrail/cli/wait_summary.py
@@ -12,8 +12,8 @@
 _WAIT_EVENT = 'tasks wait'
 _TEXT_BY_REASON = {
     IneligibleReason.UNSUITED.value: 'of another kind or too small',
-    IneligibleReason.RESTS.value: 'resting after failures',
-    IneligibleReason.TRIAL.value: 'trying a task that may crash it',
+    IneligibleReason.QUARANTINED.value: 'resting after failures',
+    IneligibleReason.ISOLATED_RETRY.value: 'trying a task that may crash it',
     IneligibleReason.CLOSED.value: 'draining, silent or gone',
     IneligibleReason.NOT_ASKED.value: 'not asked about yet',
     IneligibleReason.NOT_PERMITTED.value: 'not permitted',
@@ -24,8 +24,8 @@
     IneligibleReason.COPIES.value: (
         'with as many tasks of the step as they may have'
     ),
-    IneligibleReason.ROLE.value: 'with tasks that must not be beside it',
-    IneligibleReason.KEPT.value: 'kept for other work',
+    IneligibleReason.QOS_CLASS.value: 'with tasks that must not be beside it',
+    IneligibleReason.RESERVED.value: 'kept for other work',
     IneligibleReason.FAILED.value: (
         'avoided, as a task of the step failed there'
     ),
--- a/orchidrail/instance/config_follower.py
+++ b/orchidrail/instance/config_follower.py
@@ -89,7 +89,7 @@
             self._newer_known_since = self._clock()
         self._newest_peer_version = max(self._newest_peer_version, version)
 
-    def unconfirmed_for(self) -> Seconds:
+    def time_since_confirmed(self) -> Seconds:
         """Return the time since the last successful read, seconds."""
         return self._clock() - self._confirmed_at
 
--- a/orchidrail/instance/daemon.py
+++ b/orchidrail/instance/daemon.py
@@ -167,7 +167,7 @@
         """
         bounds = self.settings.bounds
         if bounds.strict_revocation and (
-            self.config.unconfirmed_for() > bounds.revocation
+            self.config.time_since_confirmed() > bounds.revocation
         ):
             return True
         return self.config.is_outdated()
--- a/orchidrail/instance/ownership.py
+++ b/orchidrail/instance/ownership.py
@@ -308,7 +308,7 @@
         if self._table.live_peers(_ISOLATED_AFTER):
             self._heartbeat_since_release = True
             return
-        confirmed = owner.writer.unconfirmed_for() < _NO_APPEND_FOR
+        confirmed = owner.writer.time_since_confirmed() < _NO_APPEND_FOR
         if self._heartbeat_since_release and confirmed and self._table.peers():
             _log.warning('nobody heard, letting go')
             self._heartbeat_since_release = False
--- a/orchidrail/instance/tests/test_config_follower.py
+++ b/orchidrail/instance/tests/test_config_follower.py
@@ -94,9 +94,9 @@
         async def scenario(follower: ConfigFollower) -> None:
             self.store.fault = StoreFault.REFUSES
             self.clock_offset = 5
-            self.assertGreater(follower.unconfirmed_for(), 4)
+            self.assertGreater(follower.time_since_confirmed(), 4)
             self.store.fault = None
             await asyncio.sleep(1.5)
-            self.assertLess(follower.unconfirmed_for(), 2)
+            self.assertLess(follower.time_since_confirmed(), 2)
 
         self.run_scenario(scenario)
--- a/orchidrail/journal/writer.py
+++ b/orchidrail/journal/writer.py
@@ -162,7 +162,7 @@
         """Total size of the values queued for the next append, in bytes."""
         return self._bytes
 
-    def unconfirmed_for(self) -> Seconds:
+    def time_since_confirmed(self) -> Seconds:
         """Return the seconds since ownership was last confirmed."""
         return self._clock() - self.confirmed_at
 
@@ -171,7 +171,7 @@
 
         A process that was paused may have been replaced in the meantime.
         """
-        if self.unconfirmed_for() < _CONFIRMATION_VALIDITY:
+        if self.time_since_confirmed() < _CONFIRMATION_VALIDITY:
             return not self.fenced.is_set()
         commit = self.put(OWNER_KEY, encode(self.owner))
         try:
--- a/orchidrail/properties/test_tenant_ledger.py
+++ b/orchidrail/properties/test_tenant_ledger.py
@@ -19,7 +19,7 @@
 )
 
 from orchidrail.shard.tenant_ledger import TenantLedger, quota_usage_of
-from orchidrail.shard.tests.test_worker_selection import make_books
+from orchidrail.shard.tests.test_worker_selection import make_tracked_worker
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.shard.unresolved_runs import UnresolvedRuns
 from orchidrail.types import JobId, RunNumber, TenantId, WorkerId
@@ -71,7 +71,7 @@
         self.unresolved = UnresolvedRuns(self.ledger)
         self.tracked: list[TrackedWorker] = []
         for number in range(_WORKERS):
-            tracked = make_books(f'w-{number}', 64)
+            tracked = make_tracked_worker(f'w-{number}', 64)
             tracked._ledger = self.ledger
             self.tracked.append(tracked)
 
--- a/orchidrail/shard/advice_dispatcher.py
+++ b/orchidrail/shard/advice_dispatcher.py
@@ -169,7 +169,7 @@
         request = queued.request
         advice: Advice | None = None
         self._count_call(request, 1)
-        self._short_peak.note(self._short_calls, self._clock())
+        self._short_peak.record(self._short_calls, self._clock())
         hedge_timer = asyncio.get_running_loop().call_later(
             request.duration * _HEDGE_FACTOR + _HEDGE_MARGIN,
             self._hedge,
--- a/orchidrail/shard/candidate_workers.py
+++ b/orchidrail/shard/candidate_workers.py
@@ -13,7 +13,11 @@
 from typing import NamedTuple
 
 from orchidrail.shard.colocation import may_share_worker, separation_expired
-from orchidrail.shard.tracked_worker import TaskRole, TrackedWorker, role_of
+from orchidrail.shard.tracked_worker import (
+    QosClass,
+    TrackedWorker,
+    qos_class_of,
+)
 from orchidrail.shard.worker_selection import matches_worker
 from orchidrail.types import Seconds, ServiceName, WorkerId
 from orchidrail.work.model import StepSpec
@@ -224,7 +228,7 @@
             and not self._is_avoided(step, tracked)
             and matches_worker(step.spec, tracked)
         ]
-        if role_of(step.spec) is not TaskRole.PLAIN:
+        if qos_class_of(step.spec) is not QosClass.PLAIN:
             suitable = self._filter_colocatable(step, suitable)
         return sorted(suitable, key=attrgetter('worker'))
 
@@ -237,7 +241,7 @@
             for tracked in self._with_processor_time(step, size.millicores)
             if size.fits(tracked.free) and tracked.worker not in reserved
         ]
-        if role_of(step.spec) is TaskRole.PLAIN:
+        if qos_class_of(step.spec) is QosClass.PLAIN:
             return found
         compatible = [
             tracked for tracked in found if tracked.is_compatible(step.spec)
--- a/orchidrail/shard/colocation.py
+++ b/orchidrail/shard/colocation.py
@@ -15,9 +15,9 @@
 
 from orchidrail.shard.tracked_worker import (
     PlacedRun,
-    TaskRole,
+    QosClass,
     TrackedWorker,
-    role_of,
+    qos_class_of,
 )
 from orchidrail.types import Seconds
 from orchidrail.work.step import StepState
@@ -61,7 +61,7 @@
     """
     if now < tracked.best_effort_barred_until:
         return False
-    if role_of(step.spec) is TaskRole.BEST_EFFORT:
+    if qos_class_of(step.spec) is QosClass.BEST_EFFORT:
         return not step.spec.may_miss
     return all(
         run.task is None or not run.task.step.spec.may_miss
@@ -75,7 +75,7 @@
         run
         for run in runs
         if run.task is not None
-        and role_of(run.task.step.spec) is TaskRole.BEST_EFFORT
+        and qos_class_of(run.task.step.spec) is QosClass.BEST_EFFORT
     ]
 
 
--- a/orchidrail/shard/decaying_peak.py
+++ b/orchidrail/shard/decaying_peak.py
@@ -17,8 +17,8 @@
     Examples
     --------
     >>> peak = DecayingPeak()
-    >>> peak.note(8, now=0)
-    >>> peak.note(3, now=0)
+    >>> peak.record(8, now=0)
+    >>> peak.record(3, now=0)
     >>> peak.at(now=0), round(peak.at(now=10), 1)
     (8, 2.9)
     """
@@ -28,7 +28,7 @@
         self._peak: float = 0
         self._recorded_at: Seconds = 0
 
-    def note(self, value: float, now: Seconds) -> None:
+    def record(self, value: float, now: Seconds) -> None:
         """Record the current value."""
         self._peak = max(value, self.at(now))
         self._recorded_at = now
--- a/orchidrail/shard/eligibility.py
+++ b/orchidrail/shard/eligibility.py
@@ -31,9 +31,9 @@
     #: It lacks the label, or is too small even when it is idle.
     UNSUITED = 'unsuited'
     #: It is quarantined: several jobs failed there, or it rejected an order.
-    RESTS = 'rests'
+    QUARANTINED = 'rests'
     #: It runs an isolated retry of a task that is suspected of crashes.
-    TRIAL = 'trial'
+    ISOLATED_RETRY = 'trial'
     #: It accepts no work for another reason: it drains, is unresponsive or
     #: gone.
     CLOSED = 'closed'
@@ -47,9 +47,9 @@
     #: It already runs the maximum number of the step's tasks.
     COPIES = 'copies'
     #: It runs a task of a QoS class that must not be colocated with the step.
-    ROLE = 'role'
+    QOS_CLASS = 'role'
     #: It is reserved for work that goes first.
-    KEPT = 'kept'
+    RESERVED = 'kept'
     #: A task of the step failed there recently.
     FAILED = 'failed'
     #: Its ticket has expired.
@@ -119,10 +119,12 @@
 _CHECK_BY_GENERAL_REASON: dict[
     IneligibleReason, Callable[[TrackedWorker, Seconds], bool]
 ] = {
-    IneligibleReason.RESTS: lambda tracked, now: (
+    IneligibleReason.QUARANTINED: lambda tracked, now: (
         now < tracked.quarantined_until
     ),
-    IneligibleReason.TRIAL: lambda tracked, now: bool(tracked.isolated_runs),
+    IneligibleReason.ISOLATED_RETRY: lambda tracked, now: bool(
+        tracked.isolated_runs
+    ),
     IneligibleReason.CLOSED: lambda tracked, now: not tracked.accepts_work(now),
 }
 #: Reasons that apply to a step on a permitted worker that accepts work. Checked
@@ -134,10 +136,10 @@
     IneligibleReason.HELD: _is_on_hold,
     IneligibleReason.ROOM: _lacks_capacity,
     IneligibleReason.COPIES: _has_max_copies,
-    IneligibleReason.ROLE: lambda context, tracked: (
+    IneligibleReason.QOS_CLASS: lambda context, tracked: (
         not tracked.is_compatible(context.step.spec)
     ),
-    IneligibleReason.KEPT: lambda context, tracked: (
+    IneligibleReason.RESERVED: lambda context, tracked: (
         tracked.worker in context.reserved
     ),
     IneligibleReason.FAILED: lambda context, tracked: (
--- a/orchidrail/shard/fleet.py
+++ b/orchidrail/shard/fleet.py
@@ -53,7 +53,7 @@
 _SESSION_RESTART_DELAY: Seconds = 0.5
 _decode_saved = msgspec.msgpack.Decoder(WorkerEntry).decode
 
-DecodeEntry = Callable[[str, bytes], Result[WorkerEntry, InvalidEntry]]
+EntryDecoder = Callable[[str, bytes], Result[WorkerEntry, InvalidEntry]]
 
 
 class Fleet:
@@ -85,7 +85,7 @@
         runs: RunTracker,
         view: JournalView,
         calls: WorkerCalls,
-        decode: DecodeEntry,
+        decode: EntryDecoder,
         *,
         serves: Callable[[ServiceName], bool],
         longest_lease: Seconds,
@@ -283,7 +283,7 @@
         if not self._check_address(tracked, entry):
             return
         before = tracked.entry
-        tracked.take_entry(entry)
+        tracked.apply_entry(entry)
         changed = (entry.state, entry.capacity) != (
             before.state,
             before.capacity,
--- a/orchidrail/shard/headroom.py
+++ b/orchidrail/shard/headroom.py
@@ -36,7 +36,7 @@
             used[tracked.entry.service] += tracked.urgent_millicores
         self._now = now
         for service, millicores in used.items():
-            self._peak_by_service[service].note(millicores, now)
+            self._peak_by_service[service].record(millicores, now)
 
     def available_to_others(
         self,
--- a/orchidrail/shard/load_report.py
+++ b/orchidrail/shard/load_report.py
@@ -76,7 +76,7 @@
                 tracked.accepts_work(now) for tracked in tracked_workers
             ),
             free_cores=free // _MILLIS,
-            unconfirmed=round(state.writer.unconfirmed_for(), 3),
+            unconfirmed=round(state.writer.time_since_confirmed(), 3),
             oldest_question=round(oldest_advice_request, 3),
             **self._dispatcher.load(),
         )
@@ -105,7 +105,7 @@
     metrics.workers.labels('open').set(open_count)
     metrics.workers.labels('closed').set(len(tracked_workers) - open_count)
     metrics.waiting_tasks.set(waiting_tasks)
-    metrics.journal_unconfirmed.set(state.writer.unconfirmed_for())
+    metrics.journal_unconfirmed.set(state.writer.time_since_confirmed())
 
 
 def update_tenant_gauges(state: ShardState) -> None:
--- a/orchidrail/shard/owner.py
+++ b/orchidrail/shard/owner.py
@@ -19,7 +19,7 @@
     check_known_job,
 )
 from orchidrail.shard.advice_dispatcher import AdviceDispatcher, CallAdvice
-from orchidrail.shard.fleet import DecodeEntry, Fleet
+from orchidrail.shard.fleet import EntryDecoder, Fleet
 from orchidrail.shard.lease_timing import prior_leases_end, renewal_grace
 from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
@@ -74,7 +74,7 @@
 
     worker_view: JournalView
     worker_calls: WorkerCalls
-    decode_entry: DecodeEntry
+    decode_entry: EntryDecoder
     ask: CallAdvice
     clock: Callable[[], Seconds]
     wall_clock: Callable[[], Seconds]
@@ -256,12 +256,12 @@
         job.phase = JobPhase.CANCELLED
         self.state.job_by_id.pop(job.job_id, None)
         self.state.mark_changed(job)
-        self.runs.forget_job(job)
+        self.runs.release_job(job)
         _log.info(
             'job withdrawn',
             job=job.job_id,
             queue=job.queue.name,
-            unconfirmed=round(self.writer.unconfirmed_for(), 3),
+            unconfirmed=round(self.writer.time_since_confirmed(), 3),
             trouble=self.writer.last_error,
         )
         return True
@@ -364,7 +364,7 @@
         if self.writer.fenced.is_set():
             return False
         longest = renewal_grace(self._ports.longest_lease)
-        confirmed = self.writer.unconfirmed_for() < longest
+        confirmed = self.writer.time_since_confirmed() < longest
         return confirmed or self._ports.store_unreachable()
 
     def _restore(self) -> None:
--- a/orchidrail/shard/placement_pass.py
+++ b/orchidrail/shard/placement_pass.py
@@ -12,7 +12,11 @@
     half_in_use,
     needs_reservation,
 )
-from orchidrail.shard.tracked_worker import TaskRole, TrackedWorker, role_of
+from orchidrail.shard.tracked_worker import (
+    QosClass,
+    TrackedWorker,
+    qos_class_of,
+)
 from orchidrail.types import (
     JobId,
     Seconds,
@@ -126,7 +130,7 @@
         examined_anyway = (
             this_pass.needs_reservation(step)
             or bool(step.failed_workers)
-            or role_of(step.spec) is not TaskRole.PLAIN
+            or qos_class_of(step.spec) is not QosClass.PLAIN
             or this_pass.may_request_advice(step)
         )
         if not examined_anyway:
--- a/orchidrail/shard/placer.py
+++ b/orchidrail/shard/placer.py
@@ -87,7 +87,7 @@
 
     def place_all(self) -> None:
         """Run one placement pass."""
-        self._refresh()
+        self._refresh_waiting()
         now = self._state.clock()
         wall = self._state.wall_clock()
         if self._defer_for_journal(now):
@@ -180,7 +180,7 @@
         return in_limit
 
     def _defer_for_journal(self, now: Seconds) -> bool:
-        if self._state.writer.unconfirmed_for() < _JOURNAL_TIMEOUT:
+        if self._state.writer.time_since_confirmed() < _JOURNAL_TIMEOUT:
             return False
         waiting = (job for job, steps in self._waiting_by_job.items() if steps)
         self._record_waits(dict.fromkeys(waiting, WaitReason.JOURNAL), now)
@@ -195,7 +195,7 @@
         for job_id in self._waiting_by_job:
             job = self._state.job_by_id.get(job_id)
             if job is not None:
-                job.wait_times.note(reason_by_job.get(job_id), now)
+                job.wait_times.record(reason_by_job.get(job_id), now)
 
     def waiting_tasks(self) -> int:
         """Return the number of startable tasks that wait."""
@@ -215,7 +215,7 @@
         ]
         return WaitingWork(steps, self._reserved, self._reason_by_job)
 
-    def _refresh(self) -> None:
+    def _refresh_waiting(self) -> None:
         wall = self._state.wall_clock()
         self._state.changed_jobs.update(self._due_times.pop_due(wall))
         for job_id in self._state.changed_jobs:
--- a/orchidrail/shard/run_ends.py
+++ b/orchidrail/shard/run_ends.py
@@ -92,10 +92,14 @@
 
         It counts once: it shows nothing about what its worker starts later.
         """
-        if run.sound or run.task is None or not run.task.step.spec.lasting:
+        if (
+            run.counted_as_success
+            or run.task is None
+            or not run.task.step.spec.lasting
+        ):
             return
         if tracked.uptime_since_start(run) >= _SUCCESS_AFTER:
-            run.sound = True
+            run.counted_as_success = True
             self._quarantine_policy.note_success(tracked.worker)
 
     def presume_ended(
@@ -168,7 +172,7 @@
             self._quarantine_policy.note_success(tracked.worker)
         if ending is not RunEnding.FAILED:
             return
-        if run is not None and run.sound:
+        if run is not None and run.counted_as_success:
             # A long-running task may fail at any time, on any worker.
             return
         now = self._state.clock()
--- a/orchidrail/shard/runs.py
+++ b/orchidrail/shard/runs.py
@@ -147,7 +147,7 @@
         for tracked, run in self._runs_of(job):
             self.stop(tracked, run)
 
-    def forget_job(self, job: Job) -> None:
+    def release_job(self, job: Job) -> None:
         """Free the allocations of a job none of whose starts was sent."""
         for tracked, run in self._runs_of(job):
             tracked.release(run.key)
--- a/orchidrail/shard/tenant_ledger.py
+++ b/orchidrail/shard/tenant_ledger.py
@@ -105,7 +105,7 @@
         if usage.urgent:
             self._urgent_by_tenant[name] += usage.size
             urgent = self._urgent_by_tenant[name]
-            self._peak_by_tenant[name].note(urgent, self._clock())
+            self._peak_by_tenant[name].record(urgent, self._clock())
 
     def remove_usage(self, usage: QuotaUsage) -> None:
         """Remove the usage of a run that has certainly ended."""
@@ -197,10 +197,10 @@
     def __init__(self) -> None:
         self._peaks = tuple(DecayingPeak() for _ in Size())
 
-    def note(self, size: Size, now: Seconds) -> None:
+    def record(self, size: Size, now: Seconds) -> None:
         """Record the current usage."""
         for peak, part in zip(self._peaks, size, strict=True):
-            peak.note(part, now)
+            peak.record(part, now)
 
     def at(self, now: Seconds) -> Size:
         """Return the decayed peaks."""
--- a/orchidrail/shard/tests/test_candidate_workers.py
+++ b/orchidrail/shard/tests/test_candidate_workers.py
@@ -5,7 +5,10 @@
 from testtools import TestCase
 
 from orchidrail.shard.candidate_workers import CandidateWorkers
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, TaskKey, WorkerId
@@ -28,7 +31,7 @@
     tracked.allocate(PlacedRun(key, Size(cores * 1000), None, 0), 'j.0.0')
 
 
-def advised(spec: StepSpec, *permitted: str) -> StepState:
+def advised_step(spec: StepSpec, *permitted: str) -> StepState:
     """Return a step that only some workers are permitted to run."""
     step = make_step(spec)
     record = step.job.record
@@ -62,7 +65,7 @@
 class CandidateWorkersTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.tracked = [make_books(name, cores=8) for name in 'abcd']
+        self.tracked = [make_tracked_worker(name, cores=8) for name in 'abcd']
         for cores, tracked in enumerate(self.tracked):
             fill(tracked, 2 * cores)
 
@@ -103,7 +106,7 @@
         self,
     ) -> None:
         workers = CandidateWorkers(self.tracked)
-        step = advised(StepSpec(1, Size(4000)), 'a', 'd')
+        step = advised_step(StepSpec(1, Size(4000)), 'a', 'd')
         self.assertEqual(['a'], _names(workers.with_free_capacity(step)))
         self.assertEqual(['b', 'c'], _names(workers.unchecked(step)))
         self.assertEqual(['a', 'd'], _names(workers.permitted_for(step)))
@@ -131,7 +134,7 @@
         after several failures.
         """
         workers = CandidateWorkers(self.tracked, _MAX_STALL - _ADVICE_TIME)
-        full = advised(StepSpec(1, Size(4000)), 'a', 'd')
+        full = advised_step(StepSpec(1, Size(4000)), 'a', 'd')
         for _ in range(3):
             full.failed_workers.note_failure(WorkerId('a'), 0)
         self.assertEqual(['a'], _usable(workers, full))
@@ -149,6 +152,8 @@
 
     def test_max_copies_is_that_of_the_largest_worker(self) -> None:
         service = make_job(StepSpec(1)).queue.service
-        workers = CandidateWorkers([*self.tracked, make_books('e', cores=32)])
+        workers = CandidateWorkers(
+            [*self.tracked, make_tracked_worker('e', cores=32)]
+        )
         copies = workers.max_copies(StepSpec(1, Size(10_000)), service)
         self.assertEqual(3, copies)
--- a/orchidrail/shard/tests/test_capacity_changes.py
+++ b/orchidrail/shard/tests/test_capacity_changes.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
-from orchidrail.shard.tests.test_worker_selection import make_books
+from orchidrail.shard.tests.test_worker_selection import make_tracked_worker
 from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.store.memory import MemoryStore, StoreFault
 from orchidrail.work.model import StepSpec
@@ -23,12 +23,12 @@
         tracked.entry,
         capacity=Size(cores * 1000, 100_000),
     )
-    tracked.take_entry(entry)
+    tracked.apply_entry(entry)
 
 
 class CapacityChangesTest(ShardTestCase):
     def test_free_capacity_follows_the_worker_entry(self) -> None:
-        tracked = make_books('a', cores=8)
+        tracked = make_tracked_worker('a', cores=8)
         _resize(tracked, 4)
         self.assertEqual(4000, tracked.free.millicores)
         _resize(tracked, 8)
@@ -47,7 +47,7 @@
         self.run_scenario(scenario)
 
     def test_a_hold_counts_against_the_reduced_capacity(self) -> None:
-        tracked = make_books('a', cores=8)
+        tracked = make_tracked_worker('a', cores=8)
         tracked.hold('step', Size(6000))
         _resize(tracked, 4)
         self.assertEqual(0, tracked.slots_for('other', Size(1000), 0))
--- a/orchidrail/shard/tests/test_colocation.py
+++ b/orchidrail/shard/tests/test_colocation.py
@@ -7,9 +7,12 @@
 from testtools import TestCase
 
 from orchidrail.shard.candidate_workers import CandidateWorkers
-from orchidrail.shard.tests.test_candidate_workers import advised
+from orchidrail.shard.tests.test_candidate_workers import advised_step
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import JobId, RunNumber, Seconds
 from orchidrail.work.model import StepSpec
@@ -35,7 +38,7 @@
 
 def _running(spec: StepSpec) -> TrackedWorker:
     """Return a worker that runs a task."""
-    tracked = make_books('w')
+    tracked = make_tracked_worker('w')
     task = make_step(spec).tasks[0]
     key = RunKey(task.key, RunNumber(1))
     tracked.allocate(PlacedRun(key, spec.charged, task, 0), task.step.key)
@@ -75,7 +78,7 @@
         self,
     ) -> None:
         found = self.with_free_capacity(
-            _BEST_EFFORT, _running(_LATENCY_SENSITIVE), make_books('v')
+            _BEST_EFFORT, _running(_LATENCY_SENSITIVE), make_tracked_worker('v')
         )
         self.assertEqual(['v'], found)
 
@@ -89,11 +92,14 @@
         )
         latency_sensitive = _running(_LATENCY_SENSITIVE)
         found = self.with_free_capacity(
-            gang, latency_sensitive, make_books('v')
+            gang, latency_sensitive, make_tracked_worker('v')
         )
         self.assertEqual(['v', 'w'], sorted(found))
         both = self.with_free_capacity(
-            gang, latency_sensitive, make_books('v'), make_books('u')
+            gang,
+            latency_sensitive,
+            make_tracked_worker('v'),
+            make_tracked_worker('u'),
         )
         self.assertEqual(['u', 'v'], sorted(both))
 
@@ -118,7 +124,7 @@
 
     def test_an_overdue_step_checks_workers_of_the_other_class(self) -> None:
         workers = CandidateWorkers([_running(_LATENCY_SENSITIVE)], _NOW)
-        step = advised(_BEST_EFFORT)
+        step = advised_step(_BEST_EFFORT)
         self.assertEqual([], workers.unchecked(step))
         step.tasks[0].waiting_since = _NOW - _LONG
         self.assertEqual(1, len(workers.unchecked(step)))
--- a/orchidrail/shard/tests/test_crash_attribution.py
+++ b/orchidrail/shard/tests/test_crash_attribution.py
@@ -22,7 +22,10 @@
     added_suspicion,
 )
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import STARTUP_CRASH_WINDOW, PlacedRun
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, WorkerId
@@ -166,8 +169,8 @@
 
     def test_crashes_of_isolated_retries_keep_crash_rate_low(self) -> None:
         monitor = CrashRateMonitor()
-        every = [make_books(f'w-{number}') for number in range(10)]
-        retrying = make_books('w-trial')
+        every = [make_tracked_worker(f'w-{number}') for number in range(10)]
+        retrying = make_tracked_worker('w-trial')
         task = make_step(StepSpec(1)).tasks[0]
         key = RunKey(task.key, RunNumber(1))
         retrying.allocate(
@@ -186,7 +189,7 @@
     def test_suspected_task_goes_to_idle_worker(self) -> None:
         step = make_step(StepSpec(1, size=Size(1000)))
         step.tasks[0].suspicion = 2
-        busy, idle = make_books('a'), make_books('b')
+        busy, idle = make_tracked_worker('a'), make_tracked_worker('b')
         other = make_step(StepSpec(1, size=Size(1000))).tasks[0]
         run = PlacedRun(RunKey(other.key, RunNumber(1)), Size(1000), other, 0)
         busy.allocate(run, 'other')
@@ -197,7 +200,7 @@
         """Such a worker is empty, and may crash again by itself."""
         step = make_step(StepSpec(1, size=Size(1000)))
         step.tasks[0].suspicion = 2
-        restarted, steady = make_books('a'), make_books('b')
+        restarted, steady = make_tracked_worker('a'), make_tracked_worker('b')
         restarted.crashed_at = 50
         chosen = choose_workers(step, step.startable(), [restarted, steady])
         self.assertEqual(['b'], [one.tracked.worker for one in chosen])
@@ -206,7 +209,7 @@
         step = make_step(StepSpec(4, size=Size(1000)))
         for task in step.tasks[:2]:
             task.suspicion = 2
-        every = [make_books(name) for name in 'abc']
+        every = [make_tracked_worker(name) for name in 'abc']
         chosen = choose_workers(step, step.startable(), every)
         by_worker: dict[WorkerId, list[Task]] = {}
         for task, tracked in chosen:
--- a/orchidrail/shard/tests/test_eligibility.py
+++ b/orchidrail/shard/tests/test_eligibility.py
@@ -9,8 +9,11 @@
     FleetEligibility,
     IneligibleReason,
 )
-from orchidrail.shard.tests.test_candidate_workers import advised, fill
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_candidate_workers import advised_step, fill
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.types import WorkerId
 from orchidrail.work.model import StepSpec
 from orchidrail.work.size import Size
@@ -24,7 +27,7 @@
 class EligibilityTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.tracked = [make_books(name, cores=8) for name in 'abcd']
+        self.tracked = [make_tracked_worker(name, cores=8) for name in 'abcd']
 
     def eligibility_of(
         self,
@@ -47,7 +50,9 @@
 
     def test_each_worker_is_counted_by_its_reason(self) -> None:
         self.make_reachable()
-        step = advised(StepSpec(4, _TASK, most_per_worker=1), 'a', 'b', 'c')
+        step = advised_step(
+            StepSpec(4, _TASK, most_per_worker=1), 'a', 'b', 'c'
+        )
         fill(self.tracked[0], 6)
         self.tracked[1].count_by_step[step.key] = 1
         step.failed_workers.note_failure(WorkerId('c'), _NOW)
@@ -71,16 +76,16 @@
         step = make_step(StepSpec(1, _TASK))
         found = self.counts(step, frozenset((WorkerId('b'),)))
         expected = {
-            IneligibleReason.RESTS: 1,
+            IneligibleReason.QUARANTINED: 1,
             IneligibleReason.CLOSED: 1,
-            IneligibleReason.KEPT: 1,
+            IneligibleReason.RESERVED: 1,
             IneligibleReason.NONE: 1,
         }
         self.assertEqual(expected, found)
 
     def test_an_expired_ticket_comes_last(self) -> None:
         self.make_reachable()
-        step = advised(StepSpec(1, _TASK), 'a', 'b', 'c', 'd')
+        step = advised_step(StepSpec(1, _TASK), 'a', 'b', 'c', 'd')
         step.permits.drop_ticket(WorkerId('a'))
         expected = {IneligibleReason.TICKET: 1, IneligibleReason.NONE: 3}
         self.assertEqual(expected, self.counts(step))
@@ -100,14 +105,14 @@
 
     def test_a_hold_of_the_step_itself_is_no_reason(self) -> None:
         self.make_reachable()
-        step = advised(StepSpec(1, _TASK), 'a')
+        step = advised_step(StepSpec(1, _TASK), 'a')
         step.permits.drop_ticket(WorkerId('a'))
         self.tracked[0].hold(step.key, Size(8000))
         self.assertEqual(1, self.counts(step)[IneligibleReason.TICKET])
 
     def test_idle_permitted_workers_are_sorted_by_name(self) -> None:
         self.make_reachable()
-        step = advised(StepSpec(1, _TASK), 'a', 'b', 'd')
+        step = advised_step(StepSpec(1, _TASK), 'a', 'b', 'd')
         self.tracked.reverse()
         by_name = {tracked.worker: tracked for tracked in self.tracked}
         by_name[WorkerId('a')].listed = False
--- a/orchidrail/shard/tests/test_headroom.py
+++ b/orchidrail/shard/tests/test_headroom.py
@@ -6,7 +6,10 @@
 from testtools import TestCase
 
 from orchidrail.shard.headroom import Headroom
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import PlacedRun, TrackedWorker
 from orchidrail.types import RunNumber
 from orchidrail.work.model import StepSpec
@@ -30,7 +33,7 @@
     def setUp(self) -> None:
         super().setUp()
         self.headroom = Headroom()
-        self.tracked = make_books('a', cores=40)
+        self.tracked = make_tracked_worker('a', cores=40)
         self.service = self.tracked.entry.service
 
     def available(self, now: float) -> int:
--- a/orchidrail/shard/tests/test_load_report.py
+++ b/orchidrail/shard/tests/test_load_report.py
@@ -9,7 +9,7 @@
 from orchidrail.shard.advice_dispatcher import AdviceDispatcher
 from orchidrail.shard.load_report import LoadReport
 from orchidrail.shard.placer import Placer
-from orchidrail.shard.tests.test_candidate_workers import advised
+from orchidrail.shard.tests.test_candidate_workers import advised_step
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import InstanceId, Seconds
 from orchidrail.work.model import StepSpec
@@ -25,7 +25,7 @@
             dispatcher = AdviceDispatcher(self.fail, time.monotonic)
             dispatcher.set_advice_lanes([InstanceId('lane')])
             placer = Placer(shard.state, shard.runs, dispatcher)
-            step = advised(StepSpec(1, _TASK))
+            step = advised_step(StepSpec(1, _TASK))
             with shard.state.pending_advice.track(step) as request:
                 request.state_since -= _WAITED
                 with capture_logs() as lines:
--- a/orchidrail/shard/tests/test_long_waits.py
+++ b/orchidrail/shard/tests/test_long_waits.py
@@ -10,7 +10,7 @@
 
 from orchidrail.shard import long_waits
 from orchidrail.shard.long_waits import LongWaitReporter, WaitingWork
-from orchidrail.shard.tests.test_candidate_workers import advised, fill
+from orchidrail.shard.tests.test_candidate_workers import advised_step, fill
 from orchidrail.shard.tests.test_runs import Shard, ShardTestCase
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
@@ -40,7 +40,7 @@
     def test_permitted_workers_with_free_capacity_are_named(self) -> None:
         async def scenario(shard: Shard) -> None:
             worker = shard.tracked.worker
-            step = advised(StepSpec(1, _TASK), worker)
+            step = advised_step(StepSpec(1, _TASK), worker)
             step.permits.drop_ticket(worker)
             logged = _report_wait(shard, step)
             self.assertEqual({worker: 'ticket'}, logged['idle'])
@@ -59,7 +59,7 @@
 
     def test_a_pending_advice_request_is_logged_with_its_state(self) -> None:
         async def scenario(shard: Shard) -> None:
-            step = advised(StepSpec(1, _TASK))
+            step = advised_step(StepSpec(1, _TASK))
             self.assertNotIn('question', _report_wait(shard, step))
             with shard.state.pending_advice.track(step) as request:
                 logged = _report_wait(shard, step)
--- a/orchidrail/shard/tests/test_overdue.py
+++ b/orchidrail/shard/tests/test_overdue.py
@@ -15,7 +15,10 @@
 from orchidrail.shard.placement_pass import PlacementPass, WaitingStep
 from orchidrail.shard.ranking import Timing, is_overdue
 from orchidrail.shard.tests.test_candidate_workers import fill
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.types import RunNumber, Seconds, WorkerId
 from orchidrail.work.model import StepSpec
@@ -44,7 +47,9 @@
 class OverdueTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.tracked = [make_books(name, cores=_CORES) for name in 'ab']
+        self.tracked = [
+            make_tracked_worker(name, cores=_CORES) for name in 'ab'
+        ]
 
     def test_a_step_that_waits_while_half_is_free_is_overdue_in_time(
         self,
--- a/orchidrail/shard/tests/test_wait_bounds.py
+++ b/orchidrail/shard/tests/test_wait_bounds.py
@@ -12,8 +12,11 @@
 from orchidrail.shard.headroom import Headroom
 from orchidrail.shard.placement_pass import PlacementPass, WaitingStep
 from orchidrail.shard.ranking import Timing
-from orchidrail.shard.tests.test_candidate_workers import advised, fill
-from orchidrail.shard.tests.test_worker_selection import make_books, make_step
+from orchidrail.shard.tests.test_candidate_workers import advised_step, fill
+from orchidrail.shard.tests.test_worker_selection import (
+    make_step,
+    make_tracked_worker,
+)
 from orchidrail.shard.tracked_worker import TrackedWorker
 from orchidrail.shard.worker_selection import choose_workers
 from orchidrail.types import RunNumber, Seconds, WorkerId
@@ -47,7 +50,9 @@
 class WaitBoundsTest(TestCase):
     def setUp(self) -> None:
         super().setUp()
-        self.tracked = [make_books(name, cores=_CORES) for name in _NAMES]
+        self.tracked = [
+            make_tracked_worker(name, cores=_CORES) for name in _NAMES
+        ]
 
     def pass_at(
         self,
@@ -144,7 +149,7 @@
         """Guards against attempts wasted on a broken worker."""
         tracked = self.tracked[0]
         tracked.quarantine(0, 100)
-        step = advised(StepSpec(1, _FULL), 'a', 'b')
+        step = advised_step(StepSpec(1, _FULL), 'a', 'b')
         step.tasks[0].waiting_since = 0
         step.recorded_waiting_since = 0
         step.failed_workers.note_failure(WorkerId('a'), _LONG_WAIT - 0.5)
--- a/orchidrail/shard/tests/test_worker_selection.py
+++ b/orchidrail/shard/tests/test_worker_selection.py
@@ -21,7 +21,9 @@
 from orchidrail.workers.tests.fakes import FakeWorker, make_entry
 
 
-def make_books(name: str, cores: int = 4, rack: str = 'r-1') -> TrackedWorker:
+def make_tracked_worker(
+    name: str, cores: int = 4, rack: str = 'r-1'
+) -> TrackedWorker:
     """Return an idle worker."""
     entry = msgspec.structs.replace(
         make_entry(name, cores),
@@ -53,47 +55,69 @@
 class WorkerSelectionTest(TestCase):
     def test_a_step_is_placed_as_far_as_capacity_allows(self) -> None:
         spec = StepSpec(3, size=Size(2000))
-        self.assertEqual(['a', 'a'], _choose(spec, make_books('a')))
+        self.assertEqual(['a', 'a'], _choose(spec, make_tracked_worker('a')))
 
     def test_a_gang_is_placed_as_a_whole_or_not_at_all(self) -> None:
         spec = StepSpec(3, size=Size(2000), gang=True)
-        self.assertEqual([], _choose(spec, make_books('a')))
+        self.assertEqual([], _choose(spec, make_tracked_worker('a')))
         self.assertEqual(
-            3, len(_choose(spec, make_books('a'), make_books('b')))
+            3,
+            len(
+                _choose(
+                    spec, make_tracked_worker('a'), make_tracked_worker('b')
+                )
+            ),
         )
 
     def test_the_worker_with_least_free_capacity_goes_first(self) -> None:
         spec = StepSpec(1, size=Size(2000))
         self.assertEqual(
-            ['b'], _choose(spec, make_books('a', 8), make_books('b', 2))
+            ['b'],
+            _choose(
+                spec, make_tracked_worker('a', 8), make_tracked_worker('b', 2)
+            ),
         )
 
     def test_tasks_prefer_the_rack_of_their_data(self) -> None:
         spec = StepSpec(1, size=Size(1000), data_rack='r-2')
-        near = make_books('near', 8, 'r-2')
-        self.assertEqual(['near'], _choose(spec, make_books('far', 2), near))
+        near = make_tracked_worker('near', 8, 'r-2')
+        self.assertEqual(
+            ['near'], _choose(spec, make_tracked_worker('far', 2), near)
+        )
 
     def test_a_one_rack_gang_is_placed_within_one_rack(self) -> None:
         spec = StepSpec(2, size=Size(2000), gang=True, one_rack=True)
-        racks = make_books('a', 2, 'r-1'), make_books('b', 4, 'r-2')
+        racks = (
+            make_tracked_worker('a', 2, 'r-1'),
+            make_tracked_worker('b', 4, 'r-2'),
+        )
         self.assertEqual(['b', 'b'], _choose(spec, *racks))
 
     def test_copies_on_one_worker_are_limited(self) -> None:
         spec = StepSpec(3, size=Size(100), most_per_worker=1)
         self.assertEqual(
-            2, len(_choose(spec, make_books('a'), make_books('b')))
+            2,
+            len(
+                _choose(
+                    spec, make_tracked_worker('a'), make_tracked_worker('b')
+                )
+            ),
         )
 
     def test_a_worker_needs_the_label_of_the_step(self) -> None:
         self.assertTrue(
-            matches_worker(StepSpec(1, label='kind-a'), make_books('a'))
+            matches_worker(
+                StepSpec(1, label='kind-a'), make_tracked_worker('a')
+            )
         )
         self.assertFalse(
-            matches_worker(StepSpec(1, label='kind-b'), make_books('a'))
+            matches_worker(
+                StepSpec(1, label='kind-b'), make_tracked_worker('a')
+            )
         )
 
     def test_best_effort_is_incompatible_with_latency_sensitive(self) -> None:
-        tracked = make_books('a')
+        tracked = make_tracked_worker('a')
         latency_sensitive_spec = StepSpec(
             1, size=Size(10), target=0.1, lasting=True
         )
@@ -108,7 +132,10 @@
         self.assertTrue(tracked.is_compatible(best_effort_spec))
 
     def test_urgent_work_leaves_slower_workers_to_other_work(self) -> None:
-        slow, typical = make_books('slow'), make_books('usual', cores=8)
+        slow, typical = (
+            make_tracked_worker('slow'),
+            make_tracked_worker('usual', cores=8),
+        )
         slow.speed_class = SpeedClass.SLOWER
         step = make_step(StepSpec(1, Size(1000)))
         urgent = msgspec.structs.replace(step.job.queue, priority=0)
--- a/orchidrail/shard/tracked_worker.py
+++ b/orchidrail/shard/tracked_worker.py
@@ -41,7 +41,7 @@
 STARTUP_CRASH_WINDOW: Seconds = 1.0
 
 
-class TaskRole(Enum):
+class QosClass(Enum):
     """Quality-of-service class of a task, which decides colocation."""
 
     PLAIN = 'plain'
@@ -58,22 +58,22 @@
 #: Classes that are separated where possible: a best-effort task slows down a
 #: latency-sensitive one by an amount that changes within seconds.
 _SEPARATED_FROM = {
-    TaskRole.BEST_EFFORT: TaskRole.LATENCY_SENSITIVE,
-    TaskRole.LATENCY_SENSITIVE: TaskRole.BEST_EFFORT,
+    QosClass.BEST_EFFORT: QosClass.LATENCY_SENSITIVE,
+    QosClass.LATENCY_SENSITIVE: QosClass.BEST_EFFORT,
 }
 
 
-def role_of(spec: StepSpec) -> TaskRole:
+def qos_class_of(spec: StepSpec) -> QosClass:
     """Return the QoS class of a step's tasks.
 
     Examples
     --------
-    >>> role_of(StepSpec(1, best_effort=True))
-    <TaskRole.BEST_EFFORT: 'fills'>
+    >>> qos_class_of(StepSpec(1, best_effort=True))
+    <QosClass.BEST_EFFORT: 'fills'>
     """
     if spec.best_effort:
-        return TaskRole.BEST_EFFORT
-    return TaskRole.LATENCY_SENSITIVE if spec.target else TaskRole.PLAIN
+        return QosClass.BEST_EFFORT
+    return QosClass.LATENCY_SENSITIVE if spec.target else QosClass.PLAIN
 
 
 class PlacedRun(msgspec.Struct):
@@ -109,7 +109,7 @@
     left: QuotaUsage | None = None
     #: Whether the run has been counted as a success of its worker: its task is
     #: long-running and has been at work for long enough.
-    sound: bool = False
+    counted_as_success: bool = False
     #: Since when its response times exceed their target; infinite if they
     #: don't.
     late_since: Seconds = math.inf
@@ -198,7 +198,7 @@
         self.held_by_step: dict[str, Size] = {}
         self.count_by_step: Counter[str] = Counter()
         #: Number of tasks of each QoS class.
-        self.count_by_qos_class: Counter[TaskRole] = Counter()
+        self.count_by_qos_class: Counter[QosClass] = Counter()
         #: Millicores used by tasks of urgent queues.
         self.urgent_millicores = 0
         self.quarantined_until: Seconds = 0
@@ -248,7 +248,7 @@
             return False
         return self.entry.state is WorkerState.READY
 
-    def take_entry(self, entry: WorkerEntry) -> None:
+    def apply_entry(self, entry: WorkerEntry) -> None:
         """Apply a new entry of the worker; its capacity may have changed.
 
         Runs keep their allocation: `free` is negative until enough of them end.
@@ -290,7 +290,7 @@
         if run.isolated:
             self.isolated_runs.add(run.key)
         if run.task is not None:
-            self.count_by_qos_class[role_of(run.task.step.spec)] += 1
+            self.count_by_qos_class[qos_class_of(run.task.step.spec)] += 1
             self.urgent_millicores += _urgent_millicores(run)
 
     def release(self, key: RunKey) -> PlacedRun | None:
@@ -308,7 +308,7 @@
         step_key = key.task.rpartition('.')[0]
         self.count_by_step[step_key] -= 1
         if run.task is not None:
-            self.count_by_qos_class[role_of(run.task.step.spec)] -= 1
+            self.count_by_qos_class[qos_class_of(run.task.step.spec)] -= 1
             self.urgent_millicores -= _urgent_millicores(run)
         if not self.count_by_step[step_key]:
             self.count_by_step.pop(step_key)
@@ -366,7 +366,7 @@
 
     def is_compatible(self, spec: StepSpec) -> bool:
         """Whether the QoS class of a step is compatible with what runs here."""
-        other = _SEPARATED_FROM.get(role_of(spec))
+        other = _SEPARATED_FROM.get(qos_class_of(spec))
         return other is None or not self.count_by_qos_class[other]
 
     def slots_for(self, step_key: str, size: Size, max_count: int) -> int:
--- a/orchidrail/tests/test_clocks.py
+++ b/orchidrail/tests/test_clocks.py
@@ -72,7 +72,7 @@
             view = JournalView(MemoryStore(), Topic('journal'))
             writer = await take_over(view, _ME, elapsed, Epoch(0))
             self.clock.suspended = _SUSPENDED
-            return writer.unconfirmed_for()
+            return writer.time_since_confirmed()
 
         self.assertGreaterEqual(run_program(own()), _SUSPENDED)
 
--- a/orchidrail/work/wait_times.py
+++ b/orchidrail/work/wait_times.py
@@ -33,8 +33,8 @@
     Examples
     --------
     >>> waits = WaitTimes()
-    >>> waits.note(WaitReason.ADVICE, now=10)
-    >>> waits.note(None, now=12.5)
+    >>> waits.record(WaitReason.ADVICE, now=10)
+    >>> waits.record(None, now=12.5)
     >>> waits.describe(now=20)
     {'advice': 2.5}
     """
@@ -45,7 +45,7 @@
         self._reason: WaitReason | None = None
         self._since: Seconds = 0
 
-    def note(self, reason: WaitReason | None, now: Seconds) -> None:
+    def record(self, reason: WaitReason | None, now: Seconds) -> None:
         """Record what the job waits for from `now` on, None for nothing."""
         if reason is self._reason:
             return
