--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the workers; the product imports none."""
+"""Stand-ins for the platform and the workers; not imported by orchidrail."""
--- a/standins/log.py
+++ b/standins/log.py
@@ -1,4 +1,4 @@
-"""An append-only log with offsets, retention, a rate and faults."""
+"""An append-only log with offsets, retention, a rate limit and faults."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
     Parameters
     ----------
     down : bool
-        Every call is refused.
+        Whether every call is refused.
     lose_acknowledgements : int
-        So many appends take effect but are not answered.
+        Number of appends that take effect but get no response.
     delay : float
-        Seconds before each answer.
+        Delay of each response, seconds.
     """
 
     down: bool = False
@@ -38,9 +38,9 @@
     clock : callable
         Wall clock, seconds.
     retention : float
-        Seconds for which records are kept.
+        Seconds for which records are retained.
     rate : float
-        Appends a second that are taken.
+        Appends accepted per second.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
 
     def append(self, stream: str, payload: str) -> Result[Offset, LogFailure]:
         """Append one record."""
-        if self.faults.down or not self._take_turn():
+        if self.faults.down or not self._admit():
             return Err(LogFailure.REFUSED)
         offset = Offset(self._next_by_stream.get(stream, 0))
         record = LogRecord(offset, self._clock(), payload)
@@ -79,7 +79,7 @@
         start: Offset,
         limit: int,
     ) -> Result[LogPage, LogFailure]:
-        """Return records from `start` on, or from the first one kept."""
+        """Return records from `start` on, or from the oldest one retained."""
         if self.faults.down:
             return Err(LogFailure.REFUSED)
         records = self._records_by_stream.setdefault(stream, deque())
@@ -98,7 +98,7 @@
         while records and records[0].at < oldest:
             records.popleft()
 
-    def _take_turn(self) -> bool:
+    def _admit(self) -> bool:
         now = self._clock()
         while self._recent and self._recent[0] <= now - 1:
             self._recent.popleft()
--- a/standins/machine.py
+++ b/standins/machine.py
@@ -1,7 +1,7 @@
-"""The behaviour of a worker that docs/ASSUMPTIONS.md leans on.
+"""State machine of a worker, with the behaviour in docs/ASSUMPTIONS.md.
 
-One state machine serves the stand-in process and the in-memory fake. It keeps
-a journal of its own, from which tests judge the promises.
+The stand-in process and the in-memory fake share it. It keeps a journal from
+which tests check the guarantees.
 """
 
 from __future__ import annotations
@@ -49,12 +49,12 @@
     TaskSpec,
 )
 
-#: Most of the last renewals under which a start is still taken.
+#: Number of renewals for which a start stays acceptable after its own.
 _SEQUENCE_WINDOW = 3
 
 
 class JournalEntry(NamedTuple):
-    """One start or end that really took place."""
+    """One start or end that took place on the worker."""
 
     event: str
     worker: WorkerId
@@ -88,7 +88,7 @@
         self.runner: asyncio.Task[None] | None = None
 
     def report(self) -> TaskReport:
-        """Return what a scheduler is told of it."""
+        """Return the report that is sent to a scheduler."""
         running = self.state is TaskState.RUNNING
         return TaskReport(
             key=self.spec.key,
@@ -106,12 +106,12 @@
 
 
 def answer_for(payload: str) -> str:
-    """Return the whole answer that a request must get."""
+    """Return the complete response expected for a payload."""
     return hashlib.sha256(payload.encode()).hexdigest()
 
 
 class Plan(msgspec.Struct):
-    """What a stand-in task does, read from its payload."""
+    """Actions of a stand-in task, parsed from its payload."""
 
     seconds: float = 0.01
     fail: bool = False
@@ -130,15 +130,15 @@
     Parameters
     ----------
     name : WorkerId
-        The worker's id in the instance list.
+        Id of the worker in the instance list.
     capacity : Resources
-        What it holds.
+        Resources that it offers.
     clock : callable
-        Monotonic seconds.
+        Monotonic clock, seconds.
     boot : str
-        Differs at every start of the worker; its memory starts empty.
+        Id of this start of the worker, which begins with empty memory.
     first_epoch : int
-        Higher than any epoch of an earlier start.
+        Initial epoch, higher than any epoch of a previous start.
     """
 
     def __init__(
@@ -149,7 +149,7 @@
         boot: str,
         first_epoch: int = 0,
     ) -> None:
-        """Start with an empty memory and no holder."""
+        """Start with empty memory and no lease holder."""
         self.name = name
         self.capacity = capacity
         self.boot = boot
@@ -163,12 +163,12 @@
         self._sequence = 0
         self._lease_end: Seconds = 0
         self._entry_by_key: dict[TaskId, _Entry] = {}
-        self._told_at_by_key: dict[TaskId, int] = {}
+        self._reported_at_by_key: dict[TaskId, int] = {}
         self._generation_by_job: dict[JobId, int] = {}
 
     @property
     def running(self) -> list[TaskSpec]:
-        """The tasks that run now."""
+        """The running tasks."""
         return [
             entry.spec
             for entry in self._entry_by_key.values()
@@ -176,7 +176,7 @@
         ]
 
     async def handle(self, message: Message) -> Message:
-        """Answer one message, as the worker's own agent would."""
+        """Handle one message, as the agent of a real worker would."""
         self.expire()
         answer = self._answer(message)
         if isinstance(message, StartTask) and message.wait:
@@ -184,7 +184,7 @@
         return answer
 
     def expire(self) -> None:
-        """Stop the tasks whose own leases have lapsed."""
+        """Stop the tasks whose leases have expired."""
         now = self._clock()
         for entry in list(self._entry_by_key.values()):
             lapsed = now > entry.renewed_at + entry.spec.ttl
@@ -192,26 +192,26 @@
                 self._end(entry, TaskState.STOPPED)
 
     def finish(self, key: TaskId) -> None:
-        """Let a task finish at once."""
+        """Finish a task immediately."""
         self._end(self._entry_by_key[key], TaskState.FINISHED)
 
     def forget(self, key: TaskId) -> None:
-        """Forget a task at once."""
+        """Forget a task immediately."""
         self._forget([key])
 
     def lapse(self) -> None:
-        """Let the lease lapse at once, as if its time had passed."""
+        """Expire the worker's lease immediately."""
         self._lease_end = 0
 
     def power_off(self) -> None:
-        """End everything at once, as a failed machine does."""
+        """Stop all tasks immediately, as a failed instance would."""
         for entry in self._entry_by_key.values():
             if entry.state is TaskState.RUNNING:
                 self._end(entry, TaskState.STOPPED)
 
     @singledispatchmethod
     def _answer(self, message: Message) -> Message:
-        detail = f'a worker does not take {type(message).__name__!r}'
+        detail = f'unsupported message {type(message).__name__!r}'
         return Refusal(code=RefusalCode.INVALID, detail=detail)
 
     @_answer.register
@@ -231,7 +231,7 @@
         self._holder = message.holder
         self._sequence = 1
         self._lease_end = now + message.ttl
-        self._told_at_by_key.clear()
+        self._reported_at_by_key.clear()
         return LeaseGranted(
             epoch=self._epoch,
             sequence=1,
@@ -249,14 +249,14 @@
             return Refusal(code=RefusalCode.INVALID, detail='old renewal')
         self._sequence = message.sequence
         self._lease_end = self._clock() + message.ttl
-        self._keep_jobs()
+        self._renew_jobs()
         self._stop(message.stop)
-        told = self.settle(message.settle)
-        told.update(self._ends_to_tell(message.sequence))
+        report_by_key = self.settle(message.settle)
+        report_by_key.update(self._unconfirmed_ends(message.sequence))
         self._forget(message.forget)
         return LeaseRenewed(
             sequence=message.sequence,
-            tasks=list(told.values()),
+            tasks=list(report_by_key.values()),
             used=self._used(),
             leaving=self.leaving,
         )
@@ -337,7 +337,7 @@
             return known.report()
         refusal = (
             self._check_epoch(epoch)
-            or self._check_age(sequence)
+            or self._check_sequence(sequence)
             or self._check_generation(spec)
         )
         if refusal is not None:
@@ -359,7 +359,7 @@
             return Refusal(code=RefusalCode.INVALID, detail='not a marker')
         return self._check_generation(spec) or self._run(spec)
 
-    def _check_age(self, sequence: int) -> Refusal | None:
+    def _check_sequence(self, sequence: int) -> Refusal | None:
         if sequence + _SEQUENCE_WINDOW < self._sequence:
             return Refusal(code=RefusalCode.LEASE_LAPSED, detail='old start')
         return None
@@ -371,7 +371,7 @@
         if spec.marker:
             entry.state = TaskState.MARKER
             return entry.report()
-        self._note('start', entry)
+        self._record('start', entry)
         if not self._used().fits(self.capacity):
             self.faults.append(f'{self.name} over capacity by {spec.key}')
         if self.behaviour.fail_everything:
@@ -390,13 +390,13 @@
 
     def _end(self, entry: _Entry, state: TaskState) -> None:
         entry.state = state
-        self._told_at_by_key[entry.spec.key] = 0
+        self._reported_at_by_key[entry.spec.key] = 0
         entry.ended.set()
-        self._note('end', entry)
+        self._record('end', entry)
         if entry.runner is not None and state is TaskState.STOPPED:
             entry.runner.cancel()
 
-    def _note(self, event: str, entry: _Entry) -> None:
+    def _record(self, event: str, entry: _Entry) -> None:
         spec = entry.spec
         self.journal.append(
             JournalEntry(
@@ -420,7 +420,7 @@
         await entry.ended.wait()
         return entry.report()
 
-    def _keep_jobs(self) -> None:
+    def _renew_jobs(self) -> None:
         now = self._clock()
         for entry in self._entry_by_key.values():
             if entry.spec.job:
@@ -434,37 +434,37 @@
                 self._end(entry, TaskState.STOPPED)
 
     def settle(self, keys: list[TaskId]) -> dict[TaskId, TaskReport]:
-        """Tell of tasks; those unknown will never be started."""
-        told = {}
+        """Report tasks; unknown ones are marked as never to be started."""
+        report_by_key = {}
         for key in keys:
             if key not in self._entry_by_key:
                 spec = TaskSpec(key=key, tenant='', class_name='')  # type: ignore[arg-type]
                 tombstone = _Entry(spec, TaskState.NEVER_STARTED)
                 self._entry_by_key[key] = tombstone
-            told[key] = self._entry_by_key[key].report()
-        return told
+            report_by_key[key] = self._entry_by_key[key].report()
+        return report_by_key
 
-    def _ends_to_tell(self, sequence: int) -> dict[TaskId, TaskReport]:
-        """Return the ends that the holder can't be known to have heard of.
+    def _unconfirmed_ends(self, sequence: int) -> dict[TaskId, TaskReport]:
+        """Return the ends whose receipt by the holder is not confirmed.
 
-        A renewal with a higher number shows that the last answer arrived.
+        A renewal with a higher sequence confirms the previous response.
         """
-        told = {}
-        for key, told_at in list(self._told_at_by_key.items()):
+        report_by_key = {}
+        for key, reported_at in list(self._reported_at_by_key.items()):
             entry = self._entry_by_key.get(key)
-            if entry is None or 0 < told_at < sequence:
-                self._told_at_by_key.pop(key)
+            if entry is None or 0 < reported_at < sequence:
+                self._reported_at_by_key.pop(key)
                 continue
-            self._told_at_by_key[key] = told_at or sequence
-            told[key] = entry.report()
-        return told
+            self._reported_at_by_key[key] = reported_at or sequence
+            report_by_key[key] = entry.report()
+        return report_by_key
 
     def _forget(self, keys: list[TaskId]) -> None:
         for key in keys:
-            self._told_at_by_key.pop(key, None)
+            self._reported_at_by_key.pop(key, None)
             entry = self._entry_by_key.get(key)
-            # Ended short requests stay known: they answer repeated keys.
-            if entry is not None and _may_go(entry):
+            # Ended short requests are kept to answer repeated keys.
+            if entry is not None and _may_be_forgotten(entry):
                 self._entry_by_key.pop(key)
 
     def _used(self) -> Resources:
@@ -474,7 +474,7 @@
         return used
 
 
-def _may_go(entry: _Entry) -> bool:
+def _may_be_forgotten(entry: _Entry) -> bool:
     if entry.state is TaskState.RUNNING:
         return False
     return bool(entry.spec.job) or entry.state is TaskState.MARKER
--- a/standins/model/__main__.py
+++ b/standins/model/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m standins.model FILE``: play modelled days and print a table."""
+"""``python -m standins.model FILE``: simulate days, print a table."""
 
 import fire
 
--- a/standins/model/advice.py
+++ b/standins/model/advice.py
@@ -1,4 +1,4 @@
-"""The advice service of a modelled cell: permits of workers, and tickets."""
+"""The advice service of a simulated cell, which issues tickets."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 class AdviceService:
-    """Answers questions after the time that they take.
+    """Answers advice requests after a simulated latency.
 
     Parameters
     ----------
     find_job : callable
-        From a job's id to the job as it was drawn.
-    travels : float
-        Seconds that a call takes one way.
+        Returns the drawn job of a job id.
+    one_way_latency : float
+        Network latency of a call in one direction, seconds.
     """
 
     def __init__(
         self,
         find_job: Callable[[str], DrawnJob],
-        travels: Seconds,
+        one_way_latency: Seconds,
     ) -> None:
-        """Start with no question asked."""
+        """Start with no request made."""
         self._find_job = find_job
-        self._travels = travels
+        self._one_way_latency = one_way_latency
 
     async def ask(
         self,
@@ -38,11 +38,11 @@
         workers: list[WorkerId],
         timeout: Seconds,
     ) -> Advice | None:
-        """Return the tickets of those workers that may run a step."""
+        """Return tickets for the workers that may run a step."""
         queue = self._find_job(step_key.partition('.')[0]).queue
-        base, each, valid = queue.advice or (0, 0, 0)
-        takes = 2 * self._travels + base + each * len(workers)
-        await asyncio.sleep(takes)
+        base, per_worker, valid = queue.advice or (0, 0, 0)
+        duration = 2 * self._one_way_latency + base + per_worker * len(workers)
+        await asyncio.sleep(duration)
         until = asyncio.get_running_loop().time() + valid
         tickets = {
             worker: str(until)
@@ -53,11 +53,11 @@
 
 
 def approved(step_key: str, worker: WorkerId, good: float) -> bool:
-    """Whether a worker may run a step; this never changes."""
+    """Whether a worker may run a step; constant for the pair."""
     digest = zlib.crc32(f'{step_key}/{worker}'.encode())
     return digest % 1000 < good * 1000
 
 
-def ticket_holds(ticket: str, now: Seconds) -> bool:
-    """Whether a start may bring a ticket now."""
+def ticket_is_valid(ticket: str, now: Seconds) -> bool:
+    """Whether a start with this ticket is accepted now."""
     return bool(ticket) and now <= float(ticket)
--- a/standins/model/rooms.py
+++ b/standins/model/capacity.py
@@ -1,4 +1,4 @@
-"""What the modelled workers have room for, by what runs on them."""
+"""Free capacity of the simulated workers, computed from their runs."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 from standins.model.workers import ModelWorkers
 
 
-def count_rooms(
+def count_free_slots(
     workers: ModelWorkers,
     drawn: DrawnJob,
     step_key: str,
     spec: StepSpec,
 ) -> int:
-    """Return how many tasks of a step its permitted workers could take now."""
+    """Return the free slots for a step's tasks on its permitted workers."""
     return sum(
-        _copies(workers, worker, step_key, spec)
+        _free_slots_on(workers, worker, step_key, spec)
         for worker in workers.by_name.values()
-        if not worker.over and _permitted(worker, drawn, step_key)
+        if not worker.crashed and _permitted(worker, drawn, step_key)
     )
 
 
-def most_is_free(workers: ModelWorkers) -> bool:
-    """Whether less than half of each kind of room is in use."""
-    whole, used = Size(), Size()
+def less_than_half_used(workers: ModelWorkers) -> bool:
+    """Whether less than half of the capacity is used, of each resource."""
+    total, used = Size(), Size()
     for worker in workers.by_name.values():
-        if not worker.over:
-            whole += worker.entry.capacity
-            used += used_on(workers, worker)
-    return half_is_free(used, whole)
+        if not worker.crashed:
+            total += worker.entry.capacity
+            used += allocated_on(workers, worker)
+    return half_is_free(used, total)
 
 
-def used_on(workers: ModelWorkers, worker: ModelWorker) -> Size:
-    """Return the room that the runs on a worker take."""
+def allocated_on(workers: ModelWorkers, worker: ModelWorker) -> Size:
+    """Return the capacity allocated to the runs on a worker."""
     return sum(map(workers.size_of, worker.run_by_key), Size())
 
 
@@ -45,19 +45,19 @@
     return not advised or approved(step_key, worker.entry.worker, good)
 
 
-def _copies(
+def _free_slots_on(
     workers: ModelWorkers,
     worker: ModelWorker,
     step_key: str,
     spec: StepSpec,
 ) -> int:
-    free = worker.entry.capacity - used_on(workers, worker)
+    free = worker.entry.capacity - allocated_on(workers, worker)
     if min(free) < 0:
         return 0
     fitting = spec.charged.copies_in(free)
     if not spec.most_per_worker:
         return fitting
-    beside = sum(
+    colocated = sum(
         run.task.rpartition('.')[0] == step_key for run in worker.run_by_key
     )
-    return max(0, min(fitting, spec.most_per_worker - beside))
+    return max(0, min(fitting, spec.most_per_worker - colocated))
--- a/standins/model/cell.py
+++ b/standins/model/cell.py
@@ -1,4 +1,4 @@
-"""One modelled day of a cell: a real owner, drawn jobs, judged ends."""
+"""One simulated day of a cell: a real owner, drawn jobs, evaluated outcome."""
 
 from __future__ import annotations
 
@@ -38,20 +38,24 @@
 from orchidrail.work.tenant import Tenant
 from orchidrail.workers.entry_errors import InvalidEntry
 from orchidrail.workers.port import WorkerEntry
-from standins.model.gangs import GANG_WAIT, LoneEnd
-from standins.model.judging import (
+from standins.model.evaluation import (
     EndedJob,
     Outcome,
     earned_share,
-    judge_crashes,
-    judge_queues,
-    judge_tenants,
+    score_tenants,
+    summarize_crashes,
+    summarize_queues,
+)
+from standins.model.gangs import GANG_WAIT, LoneEnd
+from standins.model.lasting import (
+    CAPACITY_FREE_FOR,
+    FAULT_FREE_BEFORE,
+    LastingWatch,
 )
-from standins.model.lasting import CALM_BEFORE, ROOM_FOR, LastingWatch
 from standins.model.liveness import LivenessWatch
 from standins.model.load import (
-    LEAD,
-    TRAFFIC_BEGINS,
+    TRAFFIC_START,
+    WARM_UP,
     Breakage,
     CellLoad,
     Crashes,
@@ -61,18 +65,18 @@
     draw_jobs,
 )
 from standins.model.loop import run_in_virtual_time
-from standins.model.starvation import LONGEST_WAIT, StarvationWatch
+from standins.model.starvation import MAX_WAIT, StarvationWatch
 from standins.model.workers import ModelWorkers
 
 _ME = MemberInfo(InstanceId('me'), Address('me:1'), 'zone', 'me-1')
-#: Time after the traffic in which jobs may still end.
-_FINISH: Seconds = 30
-#: Longer than any modelled day.
+#: Seconds after the traffic in which jobs may still end.
+_DRAIN_PERIOD: Seconds = 30
+#: Longer than any simulated day.
 _STATUS_KEPT: Seconds = 600
-_SAMPLE_EVERY: Seconds = 0.25
-_WATCH_EVERY: Seconds = 0.01
-#: How long before a lone member's end nothing else may go wrong.
-_CALM_BEFORE_LONE: Seconds = CALM_BEFORE + GANG_WAIT
+_SAMPLE_INTERVAL: Seconds = 0.25
+_WATCH_INTERVAL: Seconds = 0.01
+#: Seconds without any fault that must precede a lone member's end.
+_FAULT_FREE_BEFORE_LONE_END: Seconds = FAULT_FREE_BEFORE + GANG_WAIT
 _TOPIC = Topic('workers')
 
 _decode_entry = msgspec.msgpack.Decoder(WorkerEntry).decode
@@ -83,11 +87,11 @@
 
 
 class _TimedStore(MemoryStore):
-    """A store whose appends take some time."""
+    """A store whose appends take a fixed time, seconds."""
 
-    def __init__(self, takes: Seconds) -> None:
+    def __init__(self, append_time: Seconds) -> None:
         super().__init__()
-        self._takes = takes
+        self._append_time = append_time
 
     async def append(
         self,
@@ -96,13 +100,13 @@
         expected_end: Offset | None = None,
     ) -> AppendOutcome:
         """See `StoreLog.append`."""
-        if self._takes:
-            await asyncio.sleep(self._takes)
+        if self._append_time:
+            await asyncio.sleep(self._append_time)
         return await super().append(topic, records, expected_end)
 
 
 class CellModel:
-    """Plays one day.
+    """Simulates one day.
 
     Parameters
     ----------
@@ -127,45 +131,45 @@
         self.liveness = LivenessWatch()
         self.lasting = LastingWatch(self.workers)
         self.starvation = StarvationWatch(self.workers)
-        #: Accepted jobs that are not over and that nobody has cancelled.
+        #: Accepted jobs that have neither ended nor been cancelled.
         self._open_by_id: dict[JobId, DrawnJob] = {}
-        #: Accepted jobs whose tasks last and that nobody has cancelled.
+        #: Accepted jobs with long-running tasks that were not cancelled.
         self._lasting_by_id: dict[JobId, DrawnJob] = {}
         self._faults = sorted(_fault_spans(load))
         self._busy: list[float] = []
         self._idle_waiting: list[float] = []
 
     def play(self) -> Outcome:
-        """Play the day and judge it; its log lines are dropped."""
+        """Simulate the day and evaluate it; log lines are discarded."""
         structlog.configure(logger_factory=structlog.ReturnLoggerFactory())
-        began = time.process_time()
+        started_at = time.process_time()
         try:
-            run_in_virtual_time(self._play())
+            run_in_virtual_time(self._simulate())
         finally:
             structlog.reset_defaults()
-        return self._judge(time.process_time() - began)
+        return self._evaluate(time.process_time() - started_at)
 
-    async def _play(self) -> None:
+    async def _simulate(self) -> None:
         owner = await self._take_over()
         async with AsyncExitStack() as stack:
-            works = (
+            coroutines = (
                 owner.run(),
                 self._sample(owner),
                 self._watch(owner),
                 self._watch_liveness(owner),
-                self._harm(),
-                self._crash(),
-                self._shrink(),
-                self._break(),
+                self._run_outages(),
+                self._run_crashes(),
+                self._run_shrinkages(),
+                self._run_breakages(),
             )
-            for work in works:
-                stack.callback(asyncio.create_task(work).cancel)
-            await asyncio.sleep(LEAD)
+            for coroutine in coroutines:
+                stack.callback(asyncio.create_task(coroutine).cancel)
+            await asyncio.sleep(WARM_UP)
             callers = [
                 asyncio.create_task(self._submit(owner, job_id, drawn))
                 for job_id, drawn in self._drawn_by_id.items()
             ]
-            await asyncio.sleep(self._load.lasts + _FINISH)
+            await asyncio.sleep(self._load.lasts + _DRAIN_PERIOD)
             for caller in callers:
                 caller.cancel()
 
@@ -208,43 +212,43 @@
         drawn: DrawnJob,
     ) -> None:
         await asyncio.sleep(drawn.arrives_at)
-        known = JobId(job_id)
+        typed_id = JobId(job_id)
         settings, tenant = drawn.queue.settings, self._find_tenant(drawn.tenant)
-        if owner.find_rejection(known, settings, drawn.spec, tenant) is None:
-            taken = await owner.submit(
-                known,
+        if owner.find_rejection(typed_id, settings, drawn.spec, tenant) is None:
+            accepted = await owner.submit(
+                typed_id,
                 settings,
                 drawn.spec,
                 tenant=tenant,
             )
-            if taken:
-                self._open_by_id[known] = drawn
-            if taken and drawn.cancelled_after is not None:
-                self._lasting_by_id[known] = drawn
+            if accepted:
+                self._open_by_id[typed_id] = drawn
+            if accepted and drawn.cancelled_after is not None:
+                self._lasting_by_id[typed_id] = drawn
         if drawn.cancelled_after is not None:
             await asyncio.sleep(drawn.cancelled_after)
-            self._lasting_by_id.pop(known, None)
-            self._open_by_id.pop(known, None)
-            await owner.cancel(known)
+            self._lasting_by_id.pop(typed_id, None)
+            self._open_by_id.pop(typed_id, None)
+            await owner.cancel(typed_id)
 
     def _find_tenant(self, name: TenantId) -> Tenant:
-        """Return a tenant as the owner knows it now."""
+        """Return a tenant with the limit that the owner knows now."""
         now = asyncio.get_running_loop().time()
         weight_by_name = {one.name: one.weight for one in self._load.tenants}
-        maximum = self.workers.limits.known(name, now)
+        maximum = self.workers.limits.known_limit(name, now)
         return Tenant(name, weight_by_name.get(name, 1), maximum)
 
     async def _watch(self, owner: ShardOwner) -> None:
-        """Note each job's end, at most a hundredth of a second late."""
+        """Record the end of each job, with an error of at most 10 ms."""
         loop = asyncio.get_running_loop()
         running: dict[JobId, Job] = {}
         while True:
-            await asyncio.sleep(_WATCH_EVERY)
+            await asyncio.sleep(_WATCH_INTERVAL)
             live = owner.state.job_by_id
             for job_id in running.keys() - live.keys():
                 drawn = self._drawn_by_id[job_id]
-                took = loop.time() - LEAD - drawn.arrives_at
-                ended = EndedJob(drawn, running[job_id].phase, took)
+                duration = loop.time() - WARM_UP - drawn.arrives_at
+                ended = EndedJob(drawn, running[job_id].phase, duration)
                 self._ended_by_id[job_id] = ended
                 self._open_by_id.pop(job_id, None)
             running = dict(live)
@@ -252,111 +256,119 @@
     async def _watch_liveness(self, owner: ShardOwner) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_SAMPLE_EVERY)
+            await asyncio.sleep(_SAMPLE_INTERVAL)
             now = loop.time()
-            self.liveness.look(owner, now, _wall_clock())
-            calm = self._calm(now, CALM_BEFORE + ROOM_FOR)
-            self.lasting.look(self._lasting_by_id, now, calm)
-            calm = self._calm(now, LONGEST_WAIT)
-            self.starvation.look(self._open_by_id, now, _wall_clock(), calm)
-
-    def _calm(self, now: Seconds, lasts: Seconds) -> bool:
-        """Whether no fault of the day acts now or did for so long before."""
+            self.liveness.sample(owner, now, _wall_clock())
+            fault_free = self._fault_free(
+                now, FAULT_FREE_BEFORE + CAPACITY_FREE_FOR
+            )
+            self.lasting.sample(self._lasting_by_id, now, fault_free)
+            fault_free = self._fault_free(now, MAX_WAIT)
+            self.starvation.sample(
+                self._open_by_id, now, _wall_clock(), fault_free
+            )
+
+    def _fault_free(self, now: Seconds, period: Seconds) -> bool:
+        """Whether no fault is active or ended within `period` seconds."""
         return not any(
-            begins <= now < ends + lasts for begins, ends in self._faults
+            begins <= now < ends + period for begins, ends in self._faults
         )
 
     async def _sample(self, owner: ShardOwner) -> None:
-        await asyncio.sleep(LEAD)
-        for _ in range(int(self._load.lasts / _SAMPLE_EVERY)):
-            await asyncio.sleep(_SAMPLE_EVERY)
-            whole, free = Size(), Size()
+        await asyncio.sleep(WARM_UP)
+        for _ in range(int(self._load.lasts / _SAMPLE_INTERVAL)):
+            await asyncio.sleep(_SAMPLE_INTERVAL)
+            total, free = Size(), Size()
             for tracked in owner.state.tracked_by_worker.values():
-                whole += tracked.entry.capacity
+                total += tracked.entry.capacity
                 free += tracked.free
-            share = free.millicores / max(1, whole.millicores)
+            share = free.millicores / max(1, total.millicores)
             self._busy.append(1 - share)
             waits = owner.placer.waiting_tasks() > 0
             self._idle_waiting.append(share if waits else 0)
 
-    async def _harm(self) -> None:
+    async def _run_outages(self) -> None:
         loop = asyncio.get_running_loop()
         for outage in self._load.outages:
-            await asyncio.sleep(max(0, LEAD + outage.at - loop.time()))
-            until = LEAD + outage.at + outage.lasts
-            self.workers.silence(outage.share, until)
+            await asyncio.sleep(max(0, WARM_UP + outage.at - loop.time()))
+            until = WARM_UP + outage.at + outage.lasts
+            self.workers.make_unresponsive(outage.share, until)
 
-    async def _crash(self) -> None:
+    async def _run_crashes(self) -> None:
         loop = asyncio.get_running_loop()
         for crashes in self._load.crashes:
-            await asyncio.sleep(max(0, LEAD + crashes.at - loop.time()))
-            chosen = self.workers.choose_some(crashes.share)
+            await asyncio.sleep(max(0, WARM_UP + crashes.at - loop.time()))
+            chosen = self.workers.choose_workers(crashes.share)
             returns = itertools.cycle(crashes.returns or [None])
             for _ in range(int(crashes.lasts / crashes.every)):
                 self.workers.crash_all(chosen, next(returns))
                 if not crashes.same:
-                    chosen = self.workers.choose_some(crashes.share)
+                    chosen = self.workers.choose_workers(crashes.share)
                 await asyncio.sleep(crashes.every)
 
-    async def _shrink(self) -> None:
+    async def _run_shrinkages(self) -> None:
         loop = asyncio.get_running_loop()
         for shrinkage in self._load.shrinkages:
-            await asyncio.sleep(max(0, LEAD + shrinkage.at - loop.time()))
-            self.workers.shrink_some(shrinkage)
+            await asyncio.sleep(max(0, WARM_UP + shrinkage.at - loop.time()))
+            self.workers.shrink_workers(shrinkage)
 
-    async def _break(self) -> None:
+    async def _run_breakages(self) -> None:
         loop = asyncio.get_running_loop()
         for breakage in self._load.breakages:
-            await asyncio.sleep(max(0, LEAD + breakage.at - loop.time()))
-            until = LEAD + breakage.at + breakage.lasts
-            self.workers.break_some(breakage.share, until)
+            await asyncio.sleep(max(0, WARM_UP + breakage.at - loop.time()))
+            until = WARM_UP + breakage.at + breakage.lasts
+            self.workers.break_workers(breakage.share, until)
 
-    def _judge(self, processor_s: Seconds) -> Outcome:
+    def _evaluate(self, processor_s: Seconds) -> Outcome:
         jobs = [
             self._ended_by_id.get(
                 job_id,
                 EndedJob(drawn, None, None),
-            )._replace(at_work=self.lasting.share_at_work(JobId(job_id)))
+            )._replace(
+                running_share=self.lasting.find_running_share(JobId(job_id))
+            )
             for job_id, drawn in self._drawn_by_id.items()
         ]
         workers = self.workers
         return Outcome(
             worth=earned_share(jobs),
-            by_queue=judge_queues(jobs),
+            by_queue=summarize_queues(jobs),
             busy_share=round(statistics.fmean(self._busy), 3),
             idle_waiting_share=round(statistics.fmean(self._idle_waiting), 3),
             overfull=workers.overfull,
             doubled=workers.history.doubled,
             repeated=workers.repeated,
             refused_tickets=workers.refused_tickets,
-            late_before_met=workers.late_before_met,
-            crashes=judge_crashes(jobs, workers.history),
-            by_tenant=judge_tenants(jobs),
-            over_limit=workers.limits.over,
+            late_before_contact=workers.late_before_contact,
+            crashes=summarize_crashes(jobs, workers.history),
+            by_tenant=score_tenants(jobs),
+            over_limit=workers.limits.violations,
             left_waiting=len(self.lasting.left_waiting),
             alone=sum(map(self._counts_as_alone, workers.gangs.lone_ends)),
             processor_s=round(processor_s, 2),
         )
 
     def _counts_as_alone(self, lone: LoneEnd) -> bool:
-        """Whether a gang was left incomplete by nothing but its owner."""
+        """Whether the owner alone caused a gang to stay incomplete."""
         if self._load.late_share:
-            # Orders that are carried out late are a fault of the whole day.
+            # Orders may be executed late at any time of such a day.
             return False
         drawn = self._drawn_by_id[lone.key.task.partition('.')[0]]
         if drawn.cancelled_after is not None:
-            cancelled_at = LEAD + drawn.arrives_at + drawn.cancelled_after
+            cancelled_at = WARM_UP + drawn.arrives_at + drawn.cancelled_after
             if lone.ended_at >= cancelled_at:
                 return False
-        since = lone.ended_at - _CALM_BEFORE_LONE
+        since = lone.ended_at - _FAULT_FREE_BEFORE_LONE_END
         crashed = any(
             since < at <= lone.ended_at for at in self.workers.crashed_at
         )
-        return not crashed and self._calm(lone.ended_at, _CALM_BEFORE_LONE)
+        return not crashed and self._fault_free(
+            lone.ended_at, _FAULT_FREE_BEFORE_LONE_END
+        )
 
 
 def _fault_spans(load: CellLoad) -> Iterator[tuple[Seconds, Seconds]]:
-    """Yield when each fault of a day begins and ends, on the loop's clock."""
+    """Yield the start and end of each fault, on the loop's clock."""
     faults: tuple[Outage | Crashes | Shrinkage | Breakage, ...] = (
         *load.outages,
         *load.crashes,
@@ -364,7 +376,7 @@
         *load.breakages,
     )
     for fault in faults:
-        begins = LEAD + fault.at
+        begins = WARM_UP + fault.at
         yield begins, begins + fault.lasts
 
 
@@ -373,11 +385,11 @@
     name: WorkerName,
     entry: WorkerEntry | None,
 ) -> None:
-    """Put a worker's entry into the store, or take it away."""
+    """Write a worker's entry to the store, or delete it."""
     raw = b'' if entry is None else msgspec.msgpack.encode(entry)
-    kept = store.records_by_topic[_TOPIC]
-    kept.append(KeyedRecord(name, raw))
+    records = store.records_by_topic[_TOPIC]
+    records.append(KeyedRecord(name, raw))
 
 
 def _wall_clock() -> Seconds:
-    return TRAFFIC_BEGINS + asyncio.get_running_loop().time() - LEAD
+    return TRAFFIC_START + asyncio.get_running_loop().time() - WARM_UP
--- a/standins/model/experiment.py
+++ b/standins/model/experiment.py
@@ -1,4 +1,4 @@
-"""Modelled days beside one another, and a table of what they came to."""
+"""Runs simulated days in parallel and prints a table of the outcomes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 from rich.table import Table
 
 from standins.model.cell import CellModel
-from standins.model.judging import CrashOutcome, Outcome
+from standins.model.evaluation import CrashOutcome, Outcome
 from standins.model.load import read_load
 
-#: Columns of the printed table.
+#: Width of the printed table, characters.
 _WIDTH = 160
 
 
-def _play(day: tuple[str, int]) -> Outcome:
+def _simulate(day: tuple[str, int]) -> Outcome:
     path, seed = day
     return CellModel(read_load(path), seed).play()
 
@@ -27,22 +27,22 @@
     first: int = 1,
     jobs: int = 2,
 ) -> None:
-    """Play each file's day once for each seed.
+    """Simulate the day of each file once for each seed.
 
     Parameters
     ----------
     files : str
-        Days, as TOML files.
+        Paths of TOML files that describe a day each.
     seeds, first : int
-        How many seeds, and the first of them.
+        Number of seeds, and the first one.
     jobs : int
-        Days played beside one another.
+        Number of days simulated in parallel.
     """
     days = [
         (path, seed) for path in files for seed in range(first, first + seeds)
     ]
     with multiprocessing.get_context('spawn').Pool(jobs) as pool:
-        outcomes = pool.map(_play, days, chunksize=1)
+        outcomes = pool.map(_simulate, days, chunksize=1)
     Console(width=_WIDTH).print(_table(days, outcomes))
 
 
@@ -54,7 +54,7 @@
         'by queue',
         'busy',
         'idle',
-        'broken',
+        'violations',
         'crashes',
         'cpu s',
     )
@@ -85,6 +85,6 @@
     return (
         f'{crashes.crashing} crashing, most {crashes.most_crashes}, '
         f'{crashes.over_budget} over budget\n'
-        f'{crashes.given_up_in_error} given up in error, '
-        f'{crashes.lost_beside} lost beside'
+        f'{crashes.failed_in_error} failed in error, '
+        f'{crashes.lost_to_other_crashes} lost to other crashes'
     )
--- a/standins/model/gangs.py
+++ b/standins/model/gangs.py
@@ -1,4 +1,4 @@
-"""Gangs on the modelled workers: the members of one run share its fate."""
+"""Gangs on the simulated workers: members of one run start and end together."""
 
 from __future__ import annotations
 
@@ -11,26 +11,26 @@
 from orchidrail.workers.port import RunEnding, RunKey
 from standins.model.worker import ModelRun, ModelWorker
 
-#: Time for which a member waits for the others.
+#: Seconds for which a member waits for the others.
 GANG_WAIT: Seconds = 3.0
 
 
 class Member(NamedTuple):
-    """One member's run, and the worker that has it."""
+    """One member's run, and the worker that runs it."""
 
     worker: ModelWorker
     run: ModelRun
 
 
 class LoneEnd(NamedTuple):
-    """A member that ended because the others did not come in time."""
+    """A member that ended because the others did not start in time."""
 
     key: RunKey
     ended_at: Seconds
 
 
 class _GangId(NamedTuple):
-    """All members of a gang that were started under one number."""
+    """Identifies the members of a gang started under one run number."""
 
     step_key: str
     run: RunNumber
@@ -41,21 +41,21 @@
 
 
 class _Gang:
-    """The members that are present, and the timer of their joint end."""
+    """The members that have started, and the timer of their joint end."""
 
     def __init__(self) -> None:
         self.members: list[Member] = []
-        self.at_work = False
+        self.working = False
         self.timer: asyncio.TimerHandle | None = None
 
     def complete(self, count: int) -> bool:
-        """Whether all members are present; one may be there twice."""
+        """Whether all members have started; one may have two runs."""
         return len({member.run.key for member in self.members}) == count
 
     def first_to_end(self) -> Member:
-        """Return the member that ends the gang, if nothing else does.
+        """Return the member whose own end would end the gang.
 
-        That is the first one to fail, else the slowest.
+        It is the first one to fail, or else the slowest.
         """
         failing = [
             member
@@ -63,25 +63,25 @@
             if member.run.ending is RunEnding.FAILED
         ]
         if failing:
-            return min(failing, key=_takes)
-        return max(self.members, key=_takes)
+            return min(failing, key=_duration)
+        return max(self.members, key=_duration)
 
 
 class Gangs:
-    """Has the members of each run of a gang start and end together.
+    """Makes the members of each run of a gang start and end together.
 
-    They begin to work once all are present, under one run number. One that
-    has waited `GANG_WAIT` for the others ends as alone. Once a member has
-    ended, so have the others: as done if it has, else as broken, also where
-    it was stopped or crashed with its worker. Members hear of one another at
-    once, also those whose workers answer no orders at the time.
+    They begin to work once all have started under one run number. A member
+    that has waited `GANG_WAIT` for the others ends as alone. When a member
+    ends, the others end too: as done if it is done, else as broken, also if
+    it was stopped or crashed with its worker. Members notice each other's
+    ends at once, even while their workers do not respond to orders.
 
-    Members save nothing, and leases don't lapse in the model.
+    The model has neither checkpoints of members nor lapsed leases.
 
     Parameters
     ----------
     begin : callable
-        Sets a member to work.
+        Begins the work of a member.
     end : callable
         Ends a member's run.
     """
@@ -91,26 +91,26 @@
         begin: Callable[[ModelWorker, ModelRun], None],
         end: Callable[[ModelWorker, RunKey, RunEnding], None],
     ) -> None:
-        """Start without gangs."""
-        #: All members that ended as alone.
+        """Start with no gang."""
+        #: Members that ended as alone.
         self.lone_ends: list[LoneEnd] = []
         self._begin = begin
         self._end = end
         self._gang_by_id: dict[_GangId, _Gang] = {}
 
     def join(self, member: Member, count: int) -> None:
-        """Let a member wait for the others, or all begin to work.
+        """Add a member, and begin the gang's work if it is complete.
 
         Parameters
         ----------
         count : int
-            Members that the gang has.
+            Number of members of the gang.
         """
         gang_id = _GangId.of(member.run.key)
         gang = self._gang_by_id.setdefault(gang_id, _Gang())
         gang.members.append(member)
-        if gang.at_work:
-            # A second run of a member that is at work.
+        if gang.working:
+            # A second run of a member that works already.
             self._begin(*member)
         elif gang.complete(count):
             self._begin_all(gang)
@@ -126,32 +126,32 @@
         key: RunKey,
         ending: RunEnding | None,
     ) -> None:
-        """Take that a member's run is over, and end those of the others.
+        """Remove a member whose run has ended, and end the others.
 
         Parameters
         ----------
         ending : RunEnding, optional
-            None if it crashed with its worker.
+            How the run ended; None if its worker crashed.
         """
         gang = self._gang_by_id.pop(_GangId.of(key), None) or _Gang()
         if gang.timer is not None:
             gang.timer.cancel()
         done = ending is RunEnding.DONE
         shared = RunEnding.DONE if done else RunEnding.BROKEN
-        # The end of the run that has left changes nothing.
+        # Ending the run that has left already has no effect.
         for member in gang.members:
             self._end(member.worker, member.run.key, shared)
 
     def _begin_all(self, gang: _Gang) -> None:
-        gang.at_work = True
+        gang.working = True
         for member in gang.members:
             member.run.cancel()
             self._begin(*member)
         first = gang.first_to_end()
-        if math.isinf(first.run.takes):
+        if math.isinf(first.run.duration):
             return
         gang.timer = asyncio.get_running_loop().call_later(
-            first.run.takes,
+            first.run.duration,
             self._end,
             first.worker,
             first.run.key,
@@ -164,5 +164,5 @@
         self._end(member.worker, member.run.key, RunEnding.ALONE)
 
 
-def _takes(member: Member) -> Seconds:
-    return member.run.takes
+def _duration(member: Member) -> Seconds:
+    return member.run.duration
--- a/standins/model/lasting.py
+++ b/standins/model/lasting.py
@@ -1,7 +1,7 @@
-"""Whether tasks that last are at work, watched while a day is played.
+"""Checks during a simulated day that long-running tasks keep running.
 
-It goes by what runs at the workers, not by what the owner knows; bounds are
-those by which the users judge.
+The check goes by what runs on the workers, not by the owner's state; the
+bounds are those that the users apply.
 """
 
 from __future__ import annotations
@@ -11,29 +11,30 @@
 
 from orchidrail.types import JobId, Seconds, TaskKey
 from orchidrail.work.model import StepSpec
+from standins.model.capacity import count_free_slots
 from standins.model.load import DrawnJob
-from standins.model.rooms import count_rooms
 from standins.model.workers import ModelWorkers
 
-#: How long a task that lasts may be away after its last run.
-MOST_AWAY: Seconds = 6.0
-#: For how long there must be room for it then, and nothing go wrong.
-ROOM_FOR: Seconds = 3.0
-#: How long before that nothing else may go wrong either.
-CALM_BEFORE: Seconds = 4.0
-#: Room for a task must be there as many times.
-_TIMES_OVER = 2
+#: Seconds for which a long-running task may stay interrupted.
+MAX_INTERRUPTION: Seconds = 6.0
+#: Seconds with free capacity and without faults before it counts as left
+#: waiting.
+CAPACITY_FREE_FOR: Seconds = 3.0
+#: Seconds before those that must be free of faults, too.
+FAULT_FREE_BEFORE: Seconds = 4.0
+#: Number of free slots that must exist for a task.
+_MIN_FREE_SLOTS = 2
 
 
 class LeftWaiting(NamedTuple):
-    """A task that lasts, and was not started again though it had room."""
+    """A long-running task not started again though there was capacity."""
 
     task: TaskKey
-    away: Seconds
+    interrupted_for: Seconds
 
 
 class LastingWatch:
-    """Follows the tasks that last, by job.
+    """Tracks long-running tasks, by job.
 
     Parameters
     ----------
@@ -41,68 +42,83 @@
     """
 
     def __init__(self, workers: ModelWorkers) -> None:
-        """Start with nothing seen."""
+        """Start with no sample."""
         self.left_waiting: list[LeftWaiting] = []
-        #: Samples of tasks at work, and of all that should be, by job.
-        self._worked_by_job: dict[JobId, int] = {}
-        self._owed_by_job: dict[JobId, int] = {}
+        #: Samples of running tasks, and of all that should run, by job.
+        self._running_samples_by_job: dict[JobId, int] = {}
+        self._expected_samples_by_job: dict[JobId, int] = {}
         self._workers = workers
-        self._room_since_by_task: dict[TaskKey, Seconds] = {}
-        self._told: set[TaskKey] = set()
+        self._free_since_by_task: dict[TaskKey, Seconds] = {}
+        self._reported: set[TaskKey] = set()
 
-    def look(
+    def sample(
         self,
         drawn_by_id: Mapping[JobId, DrawnJob],
         now: Seconds,
-        calm: bool,
+        fault_free: bool,
     ) -> None:
-        """Take what is at work now, of jobs that are to be.
+        """Sample which tasks run now.
 
         Parameters
         ----------
         drawn_by_id : mapping of JobId to DrawnJob
-            Accepted jobs whose tasks last and that nobody has cancelled.
-        calm : bool
-            Whether no fault acts, nor did for as long as is judged and before.
+            Accepted jobs with long-running tasks that were not cancelled.
+        fault_free : bool
+            Whether no fault is active or was within the checked period and
+            the margin before it.
         """
         for job_id, drawn in drawn_by_id.items():
             for task, spec in _tasks(job_id, drawn):
-                self._owed_by_job[job_id] = self._owed_by_job.get(job_id, 0) + 1
-                if self._workers.history.runs(task):
-                    self._note_at_work(job_id, task)
+                self._expected_samples_by_job[job_id] = (
+                    self._expected_samples_by_job.get(job_id, 0) + 1
+                )
+                if self._workers.history.is_running(task):
+                    self._record_running(job_id, task)
                 else:
-                    self._note_away(drawn, task, spec, now, calm)
-
-    def share_at_work(self, job_id: JobId) -> float | None:
-        """Return the share of a job's time that its tasks were at work."""
-        owed = self._owed_by_job.get(job_id)
-        return self._worked_by_job.get(job_id, 0) / owed if owed else None
-
-    def _note_at_work(self, job_id: JobId, task: TaskKey) -> None:
-        self._worked_by_job[job_id] = self._worked_by_job.get(job_id, 0) + 1
-        self._room_since_by_task.pop(task, None)
-        self._told.discard(task)
-
-    def _note_away(
+                    self._record_interrupted(drawn, task, spec, now, fault_free)
+
+    def find_running_share(self, job_id: JobId) -> float | None:
+        """Return the share of its time in which a job's tasks ran."""
+        expected = self._expected_samples_by_job.get(job_id)
+        return (
+            self._running_samples_by_job.get(job_id, 0) / expected
+            if expected
+            else None
+        )
+
+    def _record_running(self, job_id: JobId, task: TaskKey) -> None:
+        self._running_samples_by_job[job_id] = (
+            self._running_samples_by_job.get(job_id, 0) + 1
+        )
+        self._free_since_by_task.pop(task, None)
+        self._reported.discard(task)
+
+    def _record_interrupted(
         self,
         drawn: DrawnJob,
         task: TaskKey,
         spec: StepSpec,
         now: Seconds,
-        calm: bool,
+        fault_free: bool,
     ) -> None:
-        away = now - self._workers.history.last_end_by_task.get(task, now)
+        interrupted_for = now - self._workers.history.last_end_by_task.get(
+            task, now
+        )
         step_key = task.rpartition('.')[0]
-        owed = away > MOST_AWAY
-        rooms = count_rooms(self._workers, drawn, step_key, spec) if owed else 0
-        if rooms < _TIMES_OVER:
-            self._room_since_by_task.pop(task, None)
+        overdue = interrupted_for > MAX_INTERRUPTION
+        free_slots = (
+            count_free_slots(self._workers, drawn, step_key, spec)
+            if overdue
+            else 0
+        )
+        if free_slots < _MIN_FREE_SLOTS:
+            self._free_since_by_task.pop(task, None)
             return
-        since = self._room_since_by_task.setdefault(task, now)
-        long = now - since > ROOM_FOR
-        if long and calm and task not in self._told:
-            self._told.add(task)
-            self.left_waiting.append(LeftWaiting(task, away))
+        since = self._free_since_by_task.setdefault(task, now)
+        free_long_enough = now - since > CAPACITY_FREE_FOR
+        if free_long_enough and fault_free and task not in self._reported:
+            self._reported.add(task)
+            self.left_waiting.append(LeftWaiting(task, interrupted_for))
 
 
 def _tasks(
--- a/standins/model/liveness.py
+++ b/standins/model/liveness.py
@@ -1,4 +1,4 @@
-"""Whether work that could run does: watched while a modelled day is played."""
+"""Checks during a simulated day that startable work makes progress."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 from orchidrail.work.size import Size
 from orchidrail.work.step import StepState
 
-#: Longest time that a task may stand still which could run, as the users judge.
-LONGEST_STILL: Seconds = 3.0
+#: Seconds for which a startable step may make no progress; the users' bound.
+MAX_STALL: Seconds = 3.0
 _HALVES = 2
 
 
 class Stalled(NamedTuple):
-    """A step that could have started something for too long."""
+    """A step that was startable but started nothing for too long."""
 
     step: str
     seconds: Seconds
 
 
 class LivenessWatch:
-    """Follows the steps whose turn has come and of which nothing runs."""
+    """Tracks startable steps of jobs that have no task running."""
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start with no sample."""
         self.stalled: list[Stalled] = []
         self._since_by_step: dict[str, Seconds] = {}
 
-    def look(self, owner: ShardOwner, now: Seconds, wall: Seconds) -> None:
-        """Take what stands still now."""
-        still = set(self._still_steps(owner, wall))
+    def sample(self, owner: ShardOwner, now: Seconds, wall: Seconds) -> None:
+        """Sample which steps make no progress now."""
+        stalled_keys = set(self._stalled_steps(owner, wall))
         if not _half_is_free(owner, now):
-            still = set()
-        for key in self._since_by_step.keys() - still:
+            stalled_keys = set()
+        for key in self._since_by_step.keys() - stalled_keys:
             self._since_by_step.pop(key)
-        for key in still:
+        for key in stalled_keys:
             since = self._since_by_step.setdefault(key, now)
-            if now - since > LONGEST_STILL:
+            if now - since > MAX_STALL:
                 self.stalled.append(Stalled(key, now - since))
 
-    def _still_steps(
+    def _stalled_steps(
         self,
         owner: ShardOwner,
         wall: Seconds,
     ) -> Iterator[str]:
         for job in owner.state.job_by_id.values():
-            if job.accepted and not _runs(job):
+            if job.accepted and not _has_runs(job):
                 steps = _startable_steps(job, wall)
                 yield from (step.key for step in steps if _fits(owner, step))
 
@@ -58,33 +58,33 @@
     return [step for step in job.open_steps(wall) if step.startable()]
 
 
-def _runs(job: Job) -> bool:
-    """Whether any task of a job is given to a worker."""
+def _has_runs(job: Job) -> bool:
+    """Whether any task of a job is placed on a worker."""
     return bool(job.placed_on())
 
 
 def _half_is_free(owner: ShardOwner, now: Seconds) -> bool:
-    whole, free = Size(), Size()
+    total, free = Size(), Size()
     for tracked in owner.state.tracked_by_worker.values():
-        whole += tracked.entry.capacity
+        total += tracked.entry.capacity
         if tracked.accepts_work(now):
             free += tracked.free
-    return _HALVES * free.millicores > whole.millicores
+    return _HALVES * free.millicores > total.millicores
 
 
 def _fits(owner: ShardOwner, step: StepState) -> bool:
-    """Whether there is room for two tasks, for a gang twice all of it.
+    """Whether there are slots for two tasks, or for a gang twice.
 
-    Only workers count that the step may use for good: what advice says of the
-    others is not known before it was asked.
+    Only workers count that are known to be permitted: whether the others are
+    is unknown until the advice service has been called.
     """
     size = step.spec.charged
     at_once = step.spec.count if step.spec.gang else 1
-    rooms = 0
+    free_slots = 0
     for tracked in owner.state.tracked_by_worker.values():
-        good = step.permits.permitted
-        if step.job.queue.advice is None or tracked.worker in good:
-            rooms += tracked.slots_for(
+        permitted_workers = step.permits.permitted
+        if step.job.queue.advice is None or tracked.worker in permitted_workers:
+            free_slots += tracked.slots_for(
                 step.key, size, step.spec.most_per_worker
             )
-    return rooms >= _HALVES * at_once
+    return free_slots >= _HALVES * at_once
--- a/standins/model/load.py
+++ b/standins/model/load.py
@@ -1,4 +1,4 @@
-"""What happens on a modelled day: a cell, its queues, surges and faults."""
+"""Description of a simulated day: a cell, its queues, surges and faults."""
 
 from __future__ import annotations
 
@@ -32,29 +32,31 @@
 )
 
 SERVICE = ServiceName('service')
-#: Wall clock at the start of a day's traffic, seconds since 1970.
-TRAFFIC_BEGINS: Seconds = 1_800_000_000
+#: Wall clock at the start of a day's traffic, seconds since the epoch.
+TRAFFIC_START: Seconds = 1_800_000_000
 _MILLI = 1000
-#: Time of day at which the traffic starts: the workers are met before.
-LEAD: Seconds = 3
-#: Most that a job counts, as a multiple of its queue's mean worth.
-_MOST_WORTH = 4
-#: Part of a job's worth that does not depend on its size.
-_FLAT_WORTH = 0.3
-#: What the answers of a task that serves are to take at the most.
+#: Seconds before the traffic, in which the owner first polls the workers.
+WARM_UP: Seconds = 3
+#: Bound on a job's core-seconds that count for its worth, as a multiple of
+#: the mean of its queue.
+_MAX_WORTH = 4
+#: Share of a job's worth that does not depend on its size.
+_FIXED_WORTH_SHARE = 0.3
+#: Response time target of a latency-sensitive task.
 _TARGET: Seconds = 0.1
-#: Workers in the call for advice that an objective allows for.
-_ADVICE_ALLOWED = 30
+#: Workers in an advice call whose duration is added to an objective.
+_ADVISED_WORKERS = 30
 
 
 class Draw(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A log-normal distribution, cut off.
+    """A log-normal distribution, truncated at a maximum.
 
     Parameters
     ----------
     mean, spread : float
         Mean, and standard deviation as a share of it.
     most : float
+        Upper bound of the values.
     """
 
     mean: float
@@ -74,39 +76,39 @@
     Parameters
     ----------
     per_s : float
-        Jobs a second.
+        Jobs per second.
     stretch, target : float
-        A job's objective is `stretch` times its longest chain of work, and
+        A job's objective is `stretch` times its longest chain of work, plus
         `target` seconds.
     steps, tasks, cores, megabytes, work : Draw
-        Of each job; `work` in seconds a task.
+        Of each job; `work` in seconds per task.
     fails : float
         Share of runs that fail by themselves.
     crashes : float
-        Share of tasks each run of which ends its worker.
+        Share of tasks each run of which crashes its worker.
     crashes_after : float
-        Seconds from such a run's start to its worker's end.
+        Seconds from the start of such a run to the crash.
     estimate_off : float
-        Spread of the caller's estimates.
+        Spread of the caller's duration estimates.
     gang, apart : float
-        Share of steps whose tasks start together, or each on a worker of its
-        own.
+        Share of steps whose tasks start together, or each on a separate
+        worker.
     good : float
-        Share of the workers that may run a step, where advice has a cost.
+        Share of the workers that may run a step, if the queue needs advice.
     rounds, every : int, float
-        Rounds of timed jobs, and seconds between them; 0 for other jobs.
+        Rounds of scheduled jobs, and seconds between them; 0 for other jobs.
     stays : Draw, optional
-        Seconds after which a job whose tasks last is cancelled; None for jobs
-        that end by themselves. A run that fails does so within its `work`.
+        Seconds after which a job with long-running tasks is cancelled; None
+        for jobs that end by themselves. A failing run ends within its `work`.
     serves : bool
-        Whether tasks that last have a target for their answers' times, so that
-        none that fills may be beside them.
+        Whether the tasks are latency-sensitive: they have a response time
+        target, so no best-effort task may be colocated with them.
     fills : float
-        Share of steps whose tasks use the processor time that others leave.
+        Share of steps whose tasks are best-effort.
     accelerators : list of int
-        Of one task, drawn for each step; empty for tasks that need none.
+        Accelerators of one task, drawn for each step; empty for none.
     hopeless : float
-        Share of jobs each run of which fails.
+        Share of jobs whose runs always fail.
     """
 
     name: str
@@ -139,7 +141,7 @@
 
     @property
     def settings(self) -> QueueSettings:
-        """The queue's settings, as a bundle would give them."""
+        """The queue's settings, as a bundle would define them."""
         return QueueSettings(
             QueueName(self.name),
             'host',
@@ -154,7 +156,7 @@
 
 
 class Surge(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A queue's rate is multiplied for a while."""
+    """Multiplies a queue's rate for `lasts` seconds."""
 
     queue: str
     at: Seconds
@@ -163,7 +165,7 @@
 
 
 class Outage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A share of the workers answers nothing for a while, and runs on."""
+    """A share of the workers stops responding, but its tasks run on."""
 
     at: Seconds
     lasts: Seconds
@@ -171,17 +173,17 @@
 
 
 class Crashes(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A share of the workers crashes by chance, time and again.
+    """A share of the workers crashes repeatedly, whatever runs there.
 
     Parameters
     ----------
     every : float
-        Seconds between two such moments.
+        Seconds between crashes.
     same : bool
-        Whether it is always the same workers.
+        Whether the same workers crash each time.
     returns : list of float
-        Seconds until they start again under the names that they had, one
-        after the other; empty if they come back as the day says.
+        Seconds until they restart under their previous names, used in a
+        cycle; empty to restart as `CellLoad` says.
     """
 
     at: Seconds
@@ -193,7 +195,7 @@
 
 
 class Breakage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A share of the workers fails all that it starts for a while."""
+    """A share of the workers fails every task that it starts."""
 
     at: Seconds
     lasts: Seconds
@@ -201,7 +203,7 @@
 
 
 class Shrinkage(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A share of the workers has only part of its room for a while."""
+    """A share of the workers has only part of its capacity."""
 
     at: Seconds
     lasts: Seconds
@@ -210,29 +212,29 @@
 
 
 class CellLoad(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One modelled day.
+    """One simulated day.
 
     Parameters
     ----------
     slow_share, slow_times : float
-        Share of the workers that are slower, and by which factor.
+        Share of the workers that are slow, and the factor on their durations.
     restart : float
-        Seconds until a crashed worker is back.
+        Seconds until a crashed worker has restarted.
     keeps_names : bool
-        Whether it is back under the name that it had.
+        Whether it restarts under its previous name.
     lanes : int
-        Machines through which advice may be asked for.
+        Instances through which the advice service is called.
     lasts : float
         Seconds of traffic.
     append_takes : float
         Seconds that an append to the journal takes.
     late_share : float
-        Share of the orders that get no answer and are carried out seconds
-        later, by whichever life then has the worker's name.
+        Share of the orders that get no response and are executed seconds
+        later, by the incarnation that then has the worker's name.
     tenants : list of TenantLoad
-        Whose jobs they are; empty for a day without tenants.
+        Tenants that the jobs belong to; empty for a day without tenants.
     accelerators : int
-        Of each worker.
+        Accelerators of each worker.
     """
 
     queues: list[QueueLoad]
@@ -260,24 +262,24 @@
 
 
 class DrawnJob(NamedTuple):
-    """A job as its caller hands it in, and what only the model knows."""
+    """A job as submitted, and what only the simulation knows of it."""
 
     queue: QueueLoad
     arrives_at: Seconds
     spec: JobSpec
-    #: Seconds of work by step and task.
+    #: Seconds of work, by step and task.
     work: list[list[Seconds]]
     #: Tasks that crash their workers, by step and number.
     crashing: frozenset[tuple[int, int]]
-    #: Time from its arrival within which it is to end.
+    #: Seconds from its arrival within which it should end.
     objective: Seconds
     worth: float
     tenant: TenantId = TenantId('')
-    #: Whether it is of a spell in which its tenant sends more than its usual.
+    #: Whether it belongs to the extra load of a tenant's hot spell.
     extra: bool = False
-    #: Seconds after its arrival at which it is cancelled; None if it isn't.
+    #: Seconds after its arrival at which it is cancelled; None if never.
     cancelled_after: Seconds | None = None
-    #: Whether each of its runs fails.
+    #: Whether all of its runs fail.
     hopeless: bool = False
 
 
@@ -294,7 +296,7 @@
 
 
 def draw_jobs(load: CellLoad, random: Random) -> list[DrawnJob]:
-    """Draw a day's jobs in the order of their arrival."""
+    """Draw a day's jobs, in order of arrival."""
     jobs: list[DrawnJob] = []
     for queue in load.queues:
         now: Seconds = 0
@@ -303,15 +305,15 @@
             if now > load.lasts:
                 break
             job = _draw_job(load, queue, now, random)
-            owner = draw_tenant(load.tenants, random)
-            jobs.append(job._replace(tenant=owner))
+            tenant_id = draw_tenant(load.tenants, random)
+            jobs.append(job._replace(tenant=tenant_id))
     for spell in load.hot_spells:
         jobs.extend(_draw_spell(load, spell, random))
     return sorted(jobs, key=lambda job: job.arrives_at)
 
 
 def step_tasks(step_key: str, spec: StepSpec) -> list[TaskKey]:
-    """Return the names of a step's tasks."""
+    """Return the keys of a step's tasks."""
     return [TaskKey(f'{step_key}.{index}') for index in range(spec.count)]
 
 
@@ -320,7 +322,7 @@
     spell: HotSpell,
     random: Random,
 ) -> list[DrawnJob]:
-    """Draw what a tenant sends beyond its usual; the others' jobs stay."""
+    """Draw the extra jobs of a tenant; the other jobs do not change."""
     tenant = next(one for one in load.tenants if one.name == spell.tenant)
     jobs: list[DrawnJob] = []
     for queue in load.queues:
@@ -336,8 +338,8 @@
 def _rate(load: CellLoad, queue: QueueLoad, now: Seconds) -> float:
     rate = queue.per_s
     for surge in load.surges:
-        begun = surge.at <= now < surge.at + surge.lasts
-        if begun and surge.queue == queue.name:
+        active = surge.at <= now < surge.at + surge.lasts
+        if active and surge.queue == queue.name:
             rate *= surge.times
     return rate
 
@@ -352,18 +354,18 @@
     work: list[list[Seconds]] = []
     count = 1 + (random.random() < queue.steps - 1)
     for number in range(count):
-        step, takes = _draw_step(load, queue, number, random)
+        step, durations = _draw_step(load, queue, number, random)
         steps.append(step)
-        work.append(takes)
-    base, each, _ = queue.advice or (0, 0, 0)
-    advice = base + each * _ADVICE_ALLOWED
-    chain = sum(max(takes) + advice for takes in work)
+        work.append(durations)
+    base, per_worker, _ = queue.advice or (0, 0, 0)
+    advice = base + per_worker * _ADVISED_WORKERS
+    chain = sum(max(durations) + advice for durations in work)
     first = now + queue.every if queue.rounds else 0
     spec = JobSpec(
         'text',
         tuple(steps),
         queue.rounds,
-        TRAFFIC_BEGINS + first,
+        TRAFFIC_START + first,
         queue.every,
     )
     return DrawnJob(
@@ -375,7 +377,7 @@
         queue.stretch * chain + queue.target + queue.rounds * queue.every,
         _worth(queue, steps, work),
         cancelled_after=queue.stays.draw(random) if queue.stays else None,
-        # The days of other seeds stay as they are.
+        # Draws nothing if unused, so days without it keep their draws.
         hopeless=bool(queue.hopeless) and random.random() < queue.hopeless,
     )
 
@@ -386,12 +388,12 @@
     random: Random,
 ) -> frozenset[tuple[int, int]]:
     if not queue.crashes:
-        # The days of other seeds stay as they are.
+        # Draws nothing if unused, so days without it keep their draws.
         return frozenset()
     return frozenset(
         (number, index)
-        for number, takes in enumerate(work)
-        for index in range(len(takes))
+        for number, durations in enumerate(work)
+        for index in range(len(durations))
         if random.random() < queue.crashes
     )
 
@@ -403,12 +405,12 @@
 ) -> float:
     """Return a job's worth, which grows with its core-seconds."""
     done = sum(
-        step.size.millicores * sum(takes)
-        for step, takes in zip(steps, work, strict=True)
+        step.size.millicores * sum(durations)
+        for step, durations in zip(steps, work, strict=True)
     )
     usual = queue.tasks.mean * queue.cores.mean * queue.work.mean * queue.steps
-    share = min(_MOST_WORTH, done / _MILLI / usual)
-    return queue.worth * (_FLAT_WORTH + (1 - _FLAT_WORTH) * share)
+    share = min(_MAX_WORTH, done / _MILLI / usual)
+    return queue.worth * (_FIXED_WORTH_SHARE + (1 - _FIXED_WORTH_SHARE) * share)
 
 
 def _draw_step(
@@ -421,9 +423,9 @@
     megabytes = min(load.megabytes, queue.megabytes.draw(random))
     mean = queue.work.draw(random)
     tasks = max(1, round(queue.tasks.draw(random)))
-    kinds = queue.accelerators
-    # The days of other seeds stay as they are.
-    accelerators = random.choice(kinds) if kinds else 0
+    choices = queue.accelerators
+    # Draws nothing if unused, so days without it keep their draws.
+    accelerators = random.choice(choices) if choices else 0
     step = StepSpec(
         tasks,
         Size(round(cores * _MILLI), round(megabytes), accelerators),
@@ -433,7 +435,7 @@
         most_per_worker=int(random.random() < queue.apart),
         lasting=queue.stays is not None,
         target=_TARGET if queue.serves else 0,
-        # The days of other seeds stay as they are.
+        # Draws nothing if unused, so days without it keep their draws.
         best_effort=bool(queue.fills) and random.random() < queue.fills,
     )
     spread = 0 if step.gang else queue.work.spread / 2
--- a/standins/model/loop.py
+++ b/standins/model/loop.py
@@ -13,7 +13,7 @@
 
 
 class _InstantSelector(selectors.SelectSelector):
-    """Never waits: it moves the loop's clock on instead."""
+    """Advances the loop's clock instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -23,11 +23,13 @@
         self,
         timeout: float | None = None,
     ) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready, or let the time pass."""
+        """Return ready events, or advance the clock by the timeout."""
         ready = super().select(0)
         if not ready:
             if timeout is None:
-                raise RuntimeError('nothing is left to happen')
+                raise RuntimeError(
+                    'no timer or event is pending; the loop would wait forever'
+                )
             self.now += max(0, timeout)
         return ready
 
@@ -45,6 +47,6 @@
 
 
 def run_in_virtual_time(work: Coroutine[Any, Any, ReturnT]) -> ReturnT:
-    """Run a coroutine to its end in a loop of its own."""
+    """Run a coroutine to completion in a new virtual-time loop."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(work)
--- a/standins/model/starvation.py
+++ b/standins/model/starvation.py
@@ -1,6 +1,6 @@
-"""Whether tasks whose turn has come are started, watched at the workers.
+"""Checks during a simulated day that startable tasks are started.
 
-It goes by what runs at the workers, not by what the owner knows.
+The check goes by what runs on the workers, not by the owner's state.
 """
 
 from __future__ import annotations
@@ -10,27 +10,27 @@
 
 from orchidrail.types import JobId, Seconds, TaskKey
 from orchidrail.work.model import StepSpec
+from standins.model.capacity import count_free_slots, less_than_half_used
 from standins.model.load import DrawnJob, step_tasks
-from standins.model.rooms import count_rooms, most_is_free
 from standins.model.workers import ModelWorkers
 
-#: Longest time for which a task may wait that could run, as the users judge.
-LONGEST_WAIT: Seconds = 3.0
-#: Room for a task, or for a whole gang, must be there as many times.
-_TIMES_OVER = 2
+#: Seconds for which a startable task may wait; the users' bound.
+MAX_WAIT: Seconds = 3.0
+#: Multiple of the slots of a task, or gang, that must be free.
+_CAPACITY_FACTOR = 2
 
 
 class Starved(NamedTuple):
-    """A task or a gang that waited though it had room."""
+    """A task or a gang that waited though there was capacity for it."""
 
-    #: Of a gang its first member.
+    #: The task; of a gang its first member.
     task: TaskKey
-    #: For how long there was room, seconds.
+    #: Time for which there was free capacity, seconds.
     seconds: Seconds
 
 
 class StarvationWatch:
-    """Follows the tasks of accepted jobs that have not begun or run again.
+    """Tracks the tasks of accepted jobs that wait for a first or further run.
 
     Parameters
     ----------
@@ -38,9 +38,9 @@
     """
 
     def __init__(self, workers: ModelWorkers) -> None:
-        """Start with nothing seen."""
+        """Start with no sample."""
         self._workers = workers
-        self._room_since_by_task: dict[TaskKey, Seconds] = {}
+        self._free_since_by_task: dict[TaskKey, Seconds] = {}
         self._longest_by_task: dict[TaskKey, Seconds] = {}
 
     @property
@@ -51,38 +51,38 @@
             for task, seconds in self._longest_by_task.items()
         ]
 
-    def look(
+    def sample(
         self,
         drawn_by_id: Mapping[JobId, DrawnJob],
         now: Seconds,
         wall: Seconds,
-        calm: bool,
+        fault_free: bool,
     ) -> None:
-        """Take what waits now.
+        """Sample which tasks wait now.
 
         Parameters
         ----------
         drawn_by_id : mapping of JobId to DrawnJob
-            Accepted jobs that are not over and that nobody has cancelled.
+            Accepted jobs that have neither ended nor been cancelled.
         now, wall : float
-            On the loop's clock, and the time of day.
-        calm : bool
-            Whether no fault acts, nor did for as long as is judged.
+            Time of the loop's clock and of the wall clock.
+        fault_free : bool
+            Whether no fault is active or was within the last `MAX_WAIT`.
         """
         waiting: set[TaskKey] = set()
-        if calm and most_is_free(self._workers):
+        if fault_free and less_than_half_used(self._workers):
             for job_id, drawn in drawn_by_id.items():
                 waiting.update(self._waiting_tasks(job_id, drawn, wall))
-        for task in self._room_since_by_task.keys() - waiting:
-            self._room_since_by_task.pop(task)
+        for task in self._free_since_by_task.keys() - waiting:
+            self._free_since_by_task.pop(task)
         for task in sorted(waiting):
-            # A run may be over between two looks.
+            # A run may start and end between two samples.
             since = max(
-                self._room_since_by_task.get(task, now),
+                self._free_since_by_task.get(task, now),
                 self._workers.history.last_end_by_task.get(task, 0),
             )
-            self._room_since_by_task[task] = since
-            if now - since > LONGEST_WAIT:
+            self._free_since_by_task[task] = since
+            if now - since > MAX_WAIT:
                 longest = self._longest_by_task.get(task, 0)
                 self._longest_by_task[task] = max(longest, now - since)
 
@@ -92,17 +92,17 @@
         drawn: DrawnJob,
         wall: Seconds,
     ) -> Iterator[TaskKey]:
-        """Yield the tasks of a job that could run and don't."""
+        """Yield the tasks of a job that could run but don't."""
         for round_number in range(drawn.spec.rounds):
             if drawn.spec.due(round_number) > wall:
                 return
             prefix = f'{job_id}.{round_number}'
             for number, spec in enumerate(drawn.spec.steps):
-                if self._turn_has_come(prefix, drawn, spec):
+                if self._is_ready(prefix, drawn, spec):
                     key = f'{prefix}.{number}'
                     yield from self._waiting_of_step(key, drawn, spec)
 
-    def _turn_has_come(
+    def _is_ready(
         self,
         prefix: str,
         drawn: DrawnJob,
@@ -130,15 +130,15 @@
         at_once = spec.count if spec.gang else 1
         if not tasks:
             return
-        rooms = count_rooms(self._workers, drawn, step_key, spec)
-        if rooms >= _TIMES_OVER * at_once:
+        free_slots = count_free_slots(self._workers, drawn, step_key, spec)
+        if free_slots >= _CAPACITY_FACTOR * at_once:
             yield from tasks
 
     def _waiting_in(self, step_key: str, spec: StepSpec) -> list[TaskKey]:
-        """Return the tasks of a step that are neither at work nor done.
+        """Return the tasks of a step that are neither running nor done.
 
-        A gang is one of them, by its first member; it waits also while some
-        of its members do so at their workers.
+        A gang is represented by its first member; it also waits while only
+        some of its members have started.
         """
         history = self._workers.history
         tasks = step_tasks(step_key, spec)
@@ -146,7 +146,7 @@
             return [
                 task
                 for task in tasks
-                if not history.runs(task) and not history.is_done(task)
+                if not history.is_running(task) and not history.is_done(task)
             ]
-        over = any(map(history.is_done, tasks))
-        return [] if over or all(map(history.runs, tasks)) else tasks[:1]
+        done = any(map(history.is_done, tasks))
+        return [] if done or all(map(history.is_running, tasks)) else tasks[:1]
--- a/standins/model/tenants.py
+++ b/standins/model/tenants.py
@@ -1,4 +1,4 @@
-"""Tenants of a modelled day: their shares, limits, and spells of heat."""
+"""Tenants of a simulated day: their shares, limits, and load spikes."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from orchidrail.work.size import Size
 
 _MILLI = 1000
-#: What may run above a limit: a tenth of it, and the task that starts.
-_OVERSHOOT = 0.1
-#: Time for which a limit that was lowered still counts, from the operator's
-#: change: the users' bound on applying a configuration.
+#: Allowed excess over a limit, as a share, in addition to one task.
+_ALLOWED_OVERSHOOT = 0.1
+#: Seconds after a limit is lowered for which the previous one is accepted:
+#: the users' bound on applying a configuration.
 _APPLIED_WITHIN: Seconds = 3.0
 
 
@@ -24,11 +24,11 @@
     Parameters
     ----------
     share : float
-        Of the day's usual jobs.
+        Share of the day's usual jobs.
     weight : float
-        Its share of the cell when all is full.
+        Weight of its fair share of a full cell.
     cores, megabytes : float
-        Most that it may have running, 0 for no limit.
+        Limits on its running tasks, 0 for no limit.
     """
 
     name: str
@@ -39,7 +39,7 @@
 
 
 class HotSpell(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A tenant sends many times its usual for a while."""
+    """A tenant submits a multiple of its usual load for `lasts` seconds."""
 
     tenant: str
     at: Seconds
@@ -48,12 +48,12 @@
 
 
 class LimitChange(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The operator gives a tenant another limit.
+    """The operator changes a tenant's limit.
 
     Parameters
     ----------
     heard_after : float
-        Seconds until the owner knows.
+        Seconds until the owner applies the change.
     """
 
     tenant: str
@@ -63,72 +63,72 @@
 
 
 def draw_tenant(tenants: list[TenantLoad], random: Random) -> TenantId:
-    """Return whose job the next one is; days without tenants draw nothing."""
+    """Draw the tenant of the next job; nothing is drawn without tenants."""
     if not tenants:
         return TenantId('')
     shares = [tenant.share for tenant in tenants]
     return TenantId(random.choices(tenants, shares)[0].name)
 
 
-class LimitJudge:
-    """Counts starts past what a tenant may have running.
+class LimitChecker:
+    """Counts starts that exceed the limit of their tenant.
 
     Parameters
     ----------
     tenants : list of TenantLoad
     changes : list of LimitChange
-    lead : float
-        Time of day at which the traffic starts.
+    warm_up : float
+        Time on the loop's clock at which the traffic starts, seconds.
     """
 
     def __init__(
         self,
         tenants: list[TenantLoad],
         changes: list[LimitChange],
-        lead: Seconds,
+        warm_up: Seconds,
     ) -> None:
-        """Start with nothing running."""
+        """Start with no task running."""
         self._cores_by_tenant = {one.name: one.cores for one in tenants}
         self._megabytes_by_tenant = {one.name: one.megabytes for one in tenants}
         self._changes = sorted(changes, key=lambda change: change.at)
-        self._lead = lead
+        self._warm_up = warm_up
         self._used_by_tenant: defaultdict[str, Size] = defaultdict(Size)
-        self.over = 0
+        self.violations = 0
 
     def start(self, tenant: str, size: Size, now: Seconds) -> None:
-        """Judge a start."""
+        """Account for a start, and count it if it exceeds the limit."""
         self._used_by_tenant[tenant] += size
-        limit = self._highest(tenant, now) * _MILLI
+        limit = self._highest_limit(tenant, now) * _MILLI
         used = self._used_by_tenant[tenant]
-        over = limit and _passes(used.millicores, limit, size.millicores)
+        over = limit and _exceeds(used.millicores, limit, size.millicores)
         megabytes = self._megabytes_by_tenant.get(tenant, 0)
         if megabytes:
-            over = over or _passes(used.megabytes, megabytes, size.megabytes)
-        self.over += bool(over)
+            over = over or _exceeds(used.megabytes, megabytes, size.megabytes)
+        self.violations += bool(over)
 
     def end(self, tenant: str, size: Size) -> None:
-        """Take that a run is over."""
+        """Account for the end of a run."""
         self._used_by_tenant[tenant] -= size
 
-    def known(self, tenant: str, now: Seconds) -> Size:
-        """Return the limit that the owner knows of."""
-        cores = self._known_cores(tenant, now)
+    def known_limit(self, tenant: str, now: Seconds) -> Size:
+        """Return the limit that the owner knows now."""
+        cores = self._known_core_limit(tenant, now)
         megabytes = self._megabytes_by_tenant.get(tenant, 0)
         return Size(round(cores * _MILLI), megabytes)
 
-    def _known_cores(self, tenant: str, now: Seconds) -> float:
+    def _known_core_limit(self, tenant: str, now: Seconds) -> float:
         cores = self._cores_by_tenant.get(tenant, 0)
         for change in self._changes:
-            heard_at = self._lead + change.at + change.heard_after
-            if change.tenant == tenant and heard_at <= now:
+            known_at = self._warm_up + change.at + change.heard_after
+            if change.tenant == tenant and known_at <= now:
                 cores = change.cores
         return cores
 
-    def _highest(self, tenant: str, now: Seconds) -> float:
-        """Return the highest limit that may be in force."""
+    def _highest_limit(self, tenant: str, now: Seconds) -> float:
+        """Return the highest limit that may be in force, 0 for none."""
         in_force = [self._cores_by_tenant.get(tenant, 0)]
         for change in self._changes:
-            begins = self._lead + change.at
+            begins = self._warm_up + change.at
             if change.tenant != tenant or begins > now:
                 continue
             if begins + _APPLIED_WITHIN < now:
@@ -137,6 +137,6 @@
         return 0 if 0 in in_force else max(in_force)
 
 
-def _passes(used: int, limit: float, task: int) -> bool:
-    """Whether a start of a task brings what runs past what is allowed."""
-    return used > limit * (1 + _OVERSHOOT) + task
+def _exceeds(used: int, limit: float, task: int) -> bool:
+    """Whether usage exceeds the limit by more than the allowance and a task."""
+    return used > limit * (1 + _ALLOWED_OVERSHOOT) + task
--- a/standins/model/worker.py
+++ b/standins/model/worker.py
@@ -1,4 +1,4 @@
-"""One life of a modelled worker."""
+"""One incarnation of a simulated worker."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     WorkerEntry,
 )
 
-#: Start of the steady clocks of the workers' first lives.
-CLOCK_BEGINS: Seconds = 1000
+#: Initial value of the monotonic clocks of the first incarnations.
+CLOCK_START: Seconds = 1000
 _LONGEST_LEASE: Seconds = 6.0
-_WHOLE = 100
+_ALL_PERCENT = 100
 
 
 class ModelRun:
@@ -29,93 +29,96 @@
     Parameters
     ----------
     key : RunKey
-    takes : float
-        Seconds of work until it ends by itself; infinite for one that lasts.
+    duration : float
+        Seconds of work until it ends by itself; infinite if long-running.
     ending : RunEnding
         How it ends by itself.
     crashes_after : float
-        Seconds of work until it ends its worker; infinite for most.
+        Seconds of work until it crashes its worker; infinite if it does not.
     """
 
     def __init__(
         self,
         key: RunKey,
-        takes: Seconds,
+        duration: Seconds,
         ending: RunEnding,
         crashes_after: Seconds = math.inf,
     ) -> None:
-        """Wait to be set to work; the worker that has it ends it."""
+        """Create a run that has not begun; its worker begins and ends it."""
         self.key = key
-        self.takes = takes
+        self.duration = duration
         self.ending = ending
         self.crashes_after = crashes_after
-        #: When it began to work; infinite before.
-        self.began: Seconds = math.inf
+        #: Time at which it began to work; infinite before.
+        self.started_at: Seconds = math.inf
         self.timer: asyncio.TimerHandle | None = None
 
     def cancel(self) -> None:
-        """Have nothing happen to it by itself any more."""
+        """Cancel the timer of its end."""
         if self.timer is not None:
             self.timer.cancel()
 
     def percent(self, now: Seconds) -> float:
-        """Return how much of it is done; one that lasts is at work at once.
+        """Return the percentage done; 100 for a long-running one at once.
 
-        A member of a gang may wait for slower ones when its work is done.
+        A member of a gang may stay at 100 while it waits for slower ones.
         """
-        if now < self.began:
+        if now < self.started_at:
             return 0
-        if math.isinf(self.takes):
-            return _WHOLE
-        return min(_WHOLE, _WHOLE * (now - self.began) / self.takes)
+        if math.isinf(self.duration):
+            return _ALL_PERCENT
+        return min(
+            _ALL_PERCENT, _ALL_PERCENT * (now - self.started_at) / self.duration
+        )
 
 
 class ModelWorker:
-    """One life of a worker: its runs, ends, lease, fence and clock.
+    """One incarnation of a worker: its runs, ends, lease, fence and clock.
 
     Parameters
     ----------
     entry : WorkerEntry
     slowness : float
-        Factor on the time that each run takes.
+        Factor on the duration of each run.
     clock_offset : float
-        What its steady clock shows beyond the loop's.
+        Offset of its monotonic clock from the loop's, seconds.
     """
 
     def __init__(
         self,
         entry: WorkerEntry,
         slowness: float,
-        clock_offset: Seconds = CLOCK_BEGINS,
+        clock_offset: Seconds = CLOCK_START,
     ) -> None:
         """Start idle."""
         self.entry = entry
         self.slowness = slowness
-        self.silent_until: Seconds = 0
-        #: Until when all fails that it starts.
+        self.unresponsive_until: Seconds = 0
+        #: Time until which every task that it starts fails.
         self.broken_until: Seconds = 0
         self.run_by_key: dict[RunKey, ModelRun] = {}
         self.ended: list[EndedRun] = []
         self.changed = asyncio.Event()
-        self.over = False
-        #: Since when it has the room that its entry names.
-        self.room_since: Seconds = -math.inf
-        #: Whether an order has reached this life in time. One that is carried
-        #: out late was made for an earlier life: nobody has met this one by it.
-        self.met = False
-        #: Runs whose end as done was acknowledged here.
+        self.crashed = False
+        #: Time since which it has the capacity of its entry.
+        self.capacity_since: Seconds = -math.inf
+        #: Whether an order has reached this incarnation in time. One that is
+        #: executed late was made for a previous incarnation, so no owner has
+        #: contacted this one through it.
+        self.contacted = False
+        #: Runs that are done and whose end was acknowledged here.
         self.acknowledged: set[RunKey] = set()
         self._clock_offset = clock_offset
         self._leased_until: Seconds = -math.inf
-        self._unheard: set[RunKey] = set()
+        self._unreported: set[RunKey] = set()
         self._number = 0
         self._fence = Epoch(0)
-        #: Runs of each task up to which starts are rejected.
-        self._newest_over: dict[TaskKey, RunNumber] = {}
+        #: Run number of each task up to which starts are rejected.
+        self._newest_ended_by_task: dict[TaskKey, RunNumber] = {}
 
     def crash(self) -> list[RunKey]:
-        """End this life; return what ran."""
-        self.over = True
+        """End this incarnation; return the runs lost."""
+        self.crashed = True
         for run in self.run_by_key.values():
             run.cancel()
         lost = list(self.run_by_key)
@@ -124,7 +127,7 @@
         return lost
 
     def end(self, key: RunKey, ending: RunEnding) -> bool:
-        """End a run and list its end; tell whether it was there."""
+        """End a run and list its end; return whether it was running."""
         run = self.run_by_key.pop(key, None)
         if run is None:
             return False
@@ -136,53 +139,54 @@
         return True
 
     def renew(self, deadline: Seconds | None, now: Seconds) -> None:
-        """Renew the lease; ends that nobody heard before it lapsed are owed.
+        """Renew the lease, and mark ends unreported before it lapsed.
 
-        Their tasks may be started again, also if the ends are heard later.
+        The tasks of these may be started again, even if the ends are reported
+        later, so they do not count as acknowledged.
         """
         clock = self.clock(now)
         if self._leased_until < clock:
-            self._unheard.update(end.key for end in self.ended)
+            self._unreported.update(end.key for end in self.ended)
         if deadline is not None:
             until = min(deadline, clock + _LONGEST_LEASE)
             self._leased_until = max(self._leased_until, until)
 
-    def heeds(self, epoch: Epoch) -> bool:
-        """Tell whether nobody newer has ordered; remember who orders now."""
+    def accepts_epoch(self, epoch: Epoch) -> bool:
+        """Return whether no higher epoch was seen; raise the fence to it."""
         self._fence = max(self._fence, epoch)
         return epoch == self._fence
 
-    def meet(self, epoch: Epoch) -> bool:
-        """Take an order that comes in time; tell whether it is heeded."""
-        self.met = True
-        return self.heeds(epoch)
+    def accept_order(self, epoch: Epoch) -> bool:
+        """Record a timely order; return whether its epoch is accepted."""
+        self.contacted = True
+        return self.accepts_epoch(epoch)
 
     def reject(self, key: RunKey) -> None:
-        """Start no run of a task up to this one any more."""
-        newest = self._newest_over.get(key.task, RunNumber(0))
-        self._newest_over[key.task] = max(newest, key.run)
+        """Reject starts of a task up to this run number from now on."""
+        newest = self._newest_ended_by_task.get(key.task, RunNumber(0))
+        self._newest_ended_by_task[key.task] = max(newest, key.run)
 
-    def refusal(self, order: StartOrder, now: Seconds) -> OrderResult | None:
-        """Return why a start is not carried out, None if it is."""
+    def rejection(self, order: StartOrder, now: Seconds) -> OrderResult | None:
+        """Return why a start is rejected, None if it is not."""
         if order.deadline < self.clock(now):
             return OrderResult.LATE
-        if order.key.run <= self._newest_over.get(order.key.task, 0):
+        if order.key.run <= self._newest_ended_by_task.get(order.key.task, 0):
             return OrderResult.OLD_RUN
         return None
 
     def forget(self, last_seen: int) -> None:
-        """Forget the ends up to `last_seen`, which were acknowledged."""
+        """Discard the acknowledged ends, up to number `last_seen`."""
         self.acknowledged.update(
             end.key
             for end in self.ended
             if end.number <= last_seen
             and end.ending is RunEnding.DONE
-            and end.key not in self._unheard
+            and end.key not in self._unreported
         )
         self.ended = [end for end in self.ended if end.number > last_seen]
 
     def listing(self, now: Seconds) -> Listing:
-        """Return what runs and the ends that were not forgotten."""
+        """Return the active runs and the ends not acknowledged yet."""
         active = [
             ActiveRun(run.key, '', run.percent(now))
             for run in self.run_by_key.values()
@@ -191,5 +195,5 @@
         return Listing(clock, active, list(self.ended), self.entry.born)
 
     def clock(self, now: Seconds) -> Seconds:
-        """Return what its steady clock shows."""
+        """Return the reading of its monotonic clock."""
         return self._clock_offset + now
--- a/standins/model/workers.py
+++ b/standins/model/workers.py
@@ -1,4 +1,4 @@
-"""Workers of the modelled cell: they run tasks in virtual time."""
+"""Workers of the simulated cell, which run tasks in virtual time."""
 
 from __future__ import annotations
 
@@ -30,46 +30,46 @@
     StartOrder,
     WorkerEntry,
 )
-from standins.model.advice import AdviceService, ticket_holds
+from standins.model.advice import AdviceService, ticket_is_valid
 from standins.model.gangs import Gangs, Member
 from standins.model.load import (
-    LEAD,
     SERVICE,
-    TRAFFIC_BEGINS,
+    TRAFFIC_START,
+    WARM_UP,
     CellLoad,
     DrawnJob,
     Shrinkage,
     step_tasks,
 )
 from standins.model.run_history import RunHistory
-from standins.model.tenants import LimitJudge
+from standins.model.tenants import LimitChecker
 from standins.model.worker import ModelRun, ModelWorker
 
-#: One way over the network.
-_TRAVELS: Seconds = 0.001
+#: Network latency in one direction, seconds.
+_ONE_WAY_LATENCY: Seconds = 0.001
 _MILLIS = 1000
-#: When orders are carried out that get no answer, as the users' site has it.
-_LATE_BY: tuple[Seconds, Seconds] = (2, 12)
-#: The time of day by which a life tells its start may be off by this much, so
-#: a later life may name an earlier start.
-_BORN_OFF: Seconds = 5.0
-#: An entry goes after three heartbeats without a write, counted from the last.
-_ENTRY_LASTS: Seconds = 4.5
+#: Range of delays of orders executed late, seconds, as on the users' site.
+_LATE_ORDER_DELAY: tuple[Seconds, Seconds] = (2, 12)
+#: Error of the wall clock that dates the start of an incarnation, seconds; a
+#: later incarnation may thus report an earlier start.
+_BORN_SKEW: Seconds = 5.0
+#: An entry expires three heartbeats after its last write, seconds.
+_ENTRY_TTL: Seconds = 4.5
 _HEARTBEAT: Seconds = 1.5
-#: Time after which starts must heed a room that has changed: the time in which
-#: machines must be in touch, and one heartbeat.
-_ROOM_HEARD_WITHIN: Seconds = 4.5
+#: Seconds after which starts must respect a changed capacity: the time within
+#: which instances must be in contact, plus one heartbeat.
+_CAPACITY_CHANGE_GRACE: Seconds = 4.5
 
 
 class ModelWorkers:
-    """All workers of a cell; fits `WorkerCalls`.
+    """All workers of a cell; implements `WorkerCalls`.
 
     Parameters
     ----------
     load : CellLoad
     random : Random
     find_job : callable
-        From a job's id to the job as it was drawn.
+        Returns the drawn job of a job id.
     """
 
     def __init__(
@@ -82,27 +82,27 @@
         self._random = random
         self._find_job = find_job
         self.by_name: dict[WorkerName, ModelWorker] = {}
-        self.advice = AdviceService(find_job, _TRAVELS)
+        self.advice = AdviceService(find_job, _ONE_WAY_LATENCY)
         self.history = RunHistory()
-        self.gangs = Gangs(self._set_to_work, self._end)
-        #: Starts that took a worker past its room.
+        self.gangs = Gangs(self._begin_work, self._end)
+        #: Starts that exceeded the capacity of a worker.
         self.overfull = 0
         self.refused_tickets = 0
-        #: Starts for an earlier life that were carried out by one which no
-        #: owner had met: no order could have made them void.
-        self.late_before_met = 0
-        self.limits = LimitJudge(load.tenants, load.limit_changes, LEAD)
-        #: When workers crashed.
+        #: Starts for a previous incarnation, executed by one that no owner had
+        #: contacted: no order could have fenced them off.
+        self.late_before_contact = 0
+        self.limits = LimitChecker(load.tenants, load.limit_changes, WARM_UP)
+        #: Times at which workers crashed.
         self.crashed_at: list[Seconds] = []
-        self._lives_over: list[ModelWorker] = []
-        #: Writes a worker's entry, or takes it away.
+        self._ended_incarnations: list[ModelWorker] = []
+        #: Writes a worker's entry, or deletes it.
         self.publish: Callable[[WorkerName, WorkerEntry | None], None] = (
-            _nothing
+            _publish_nothing
         )
         self._restart = load.restart
         self._keeps_names = load.keeps_names
         self._late_share = load.late_share
-        self._lives = 0
+        self._incarnation_count = 0
         self._current_by_address: dict[Address, ModelWorker] = {}
         for number in range(load.workers):
             slow = random.random() < load.slow_share
@@ -114,51 +114,58 @@
         self.by_name[worker.entry.name] = worker
         self._current_by_address[worker.entry.address] = worker
 
-    def shrink_some(self, shrinkage: Shrinkage) -> None:
-        """Let a share of the workers have less room for a while."""
+    def shrink_workers(self, shrinkage: Shrinkage) -> None:
+        """Reduce the capacity of a share of the workers for a while."""
         loop = asyncio.get_running_loop()
-        every = list(self._current_by_address.values())
-        count = round(shrinkage.share * len(every))
-        for worker in self._random.sample(every, count):
+        candidates = list(self._current_by_address.values())
+        count = round(shrinkage.share * len(candidates))
+        for worker in self._random.sample(candidates, count):
             whole = worker.entry.capacity
             part = Size(*(int(shrinkage.left * one) for one in whole))
             self._resize(worker, part)
             loop.call_later(shrinkage.lasts, self._resize, worker, whole)
 
-    def _resize(self, worker: ModelWorker, room: Size) -> None:
-        """Change a worker's room, and its entry with the next heartbeat."""
+    def _resize(self, worker: ModelWorker, new_capacity: Size) -> None:
+        """Change a worker's capacity; its entry follows within a heartbeat."""
         loop = asyncio.get_running_loop()
-        worker.entry = msgspec.structs.replace(worker.entry, capacity=room)
-        worker.room_since = loop.time()
+        worker.entry = msgspec.structs.replace(
+            worker.entry, capacity=new_capacity
+        )
+        worker.capacity_since = loop.time()
         name = worker.entry.name
         loop.call_later(
             _HEARTBEAT * self._random.random(),
-            lambda: worker.over or self.publish(name, worker.entry),
+            lambda: worker.crashed or self.publish(name, worker.entry),
         )
 
-    def choose_some(self, share: float) -> list[Address]:
-        """Choose a share of the workers."""
-        every = list(self._current_by_address)
-        return self._random.sample(every, round(share * len(every)))
+    def choose_workers(self, share: float) -> list[Address]:
+        """Choose a random share of the workers."""
+        candidates = list(self._current_by_address)
+        return self._random.sample(candidates, round(share * len(candidates)))
 
     @property
     def repeated(self) -> int:
-        """Runs followed by another though they were done and acknowledged."""
-        lives = [*self._lives_over, *self._current_by_address.values()]
-        noted = set().union(*(life.acknowledged for life in lives))
-        return self.history.repeated(noted)
+        """Number of acknowledged, done runs that were repeated."""
+        incarnations = [
+            *self._ended_incarnations,
+            *self._current_by_address.values(),
+        ]
+        acknowledged_runs = set().union(
+            *(one.acknowledged for one in incarnations)
+        )
+        return self.history.repeated(acknowledged_runs)
 
     def crash_all(
         self,
         addresses: list[Address],
         returns_after: Seconds | None = None,
     ) -> None:
-        """Let workers crash that have nothing to blame.
+        """Crash workers through no fault of their runs.
 
         Parameters
         ----------
         returns_after : float, optional
-            Seconds until they start again under the names that they had.
+            Seconds until they restart under their previous names.
         """
         for address in addresses:
             worker = self._current_by_address[address]
@@ -170,15 +177,15 @@
         cause: RunKey | None,
         returns_after: Seconds | None = None,
     ) -> None:
-        """End a worker's life with all that runs there; it will be back."""
-        if worker.over:
+        """Crash a worker with all its runs, and schedule its restart."""
+        if worker.crashed:
             return
-        self._lives_over.append(worker)
+        self._ended_incarnations.append(worker)
         self.crashed_at.append(_now())
         lost = worker.crash()
         for key in lost:
-            self._note_over(key)
-        self.history.note_crash(lost, cause)
+            self._record_end(key)
+        self.history.record_crash(lost, cause)
         for key in lost:
             self.gangs.leave(key, None)
         loop = asyncio.get_running_loop()
@@ -188,30 +195,30 @@
         else:
             loop.call_later(returns_after, self._return, worker)
         loop.call_later(
-            _ENTRY_LASTS - _HEARTBEAT * self._random.random(),
+            _ENTRY_TTL - _HEARTBEAT * self._random.random(),
             self._drop_entry,
             worker,
         )
 
     def _drop_entry(self, worker: ModelWorker) -> None:
-        """Take away the entry of a life that is over, if it is still there."""
+        """Delete the entry of a crashed incarnation that was not replaced."""
         name = worker.entry.name
-        if self.by_name[name].over:
+        if self.by_name[name].crashed:
             self.publish(name, None)
 
     def _restart_after(self, old: ModelWorker) -> None:
-        self._lives += 1
-        name = WorkerName(f'{old.entry.address}/{self._lives}')
-        born = round((TRAFFIC_BEGINS + _now()) * _MILLIS)
+        self._incarnation_count += 1
+        name = WorkerName(f'{old.entry.address}/{self._incarnation_count}')
+        born = round((TRAFFIC_START + _now()) * _MILLIS)
         entry = msgspec.structs.replace(old.entry, name=name, born=born)
         self._add(ModelWorker(entry, old.slowness))
         self.publish(name, entry)
 
     def _return(self, old: ModelWorker) -> None:
-        """Begin a life under the name of one that is over.
+        """Start a new incarnation under the name of a crashed one.
 
-        Its clock starts anew. Its entry is written at some time before the
-        heartbeat after that.
+        Its monotonic clock starts from zero. Its entry is written within one
+        heartbeat interval.
         """
         loop = asyncio.get_running_loop()
         entry = msgspec.structs.replace(old.entry, born=self._draw_born())
@@ -219,40 +226,40 @@
         self._add(worker)
         loop.call_later(
             _HEARTBEAT * self._random.random(),
-            lambda: worker.over or self.publish(entry.name, entry),
+            lambda: worker.crashed or self.publish(entry.name, entry),
         )
 
     def _draw_born(self) -> int:
-        off = self._random.uniform(-_BORN_OFF, _BORN_OFF)
+        off = self._random.uniform(-_BORN_SKEW, _BORN_SKEW)
         now = asyncio.get_running_loop().time()
-        return round((TRAFFIC_BEGINS + now + off) * _MILLIS)
+        return round((TRAFFIC_START + now + off) * _MILLIS)
 
     async def _reach(
         self,
         entry: WorkerEntry,
         timeout: Seconds,
     ) -> ModelWorker | OrderAnswer:
-        """Return the life that a call finds, or what comes of the call."""
-        await asyncio.sleep(_TRAVELS)
+        """Return the incarnation that a call reaches, or the failed result."""
+        await asyncio.sleep(_ONE_WAY_LATENCY)
         worker = self._current_by_address[entry.address]
-        if asyncio.get_running_loop().time() < worker.silent_until:
-            await asyncio.sleep(max(0, timeout - _TRAVELS))
+        if asyncio.get_running_loop().time() < worker.unresponsive_until:
+            await asyncio.sleep(max(0, timeout - _ONE_WAY_LATENCY))
             return OrderAnswer(OrderResult.UNKNOWN)
-        if worker.over:
+        if worker.crashed:
             return OrderAnswer(OrderResult.NOT_SENT)
         if worker.entry.name != entry.name:
             return OrderAnswer(OrderResult.OTHER_INCARNATION)
         return worker
 
-    def silence(self, share: float, until: Seconds) -> None:
-        """Let a share of the workers answer nothing for a while."""
+    def make_unresponsive(self, share: float, until: Seconds) -> None:
+        """Make a share of the workers stop responding until a time."""
         count = round(share * len(self.by_name))
         for worker in self._random.sample(list(self.by_name.values()), count):
-            worker.silent_until = until
+            worker.unresponsive_until = until
 
-    def break_some(self, share: float, until: Seconds) -> None:
-        """Let a share of the workers fail all that they start for a while."""
-        for address in self.choose_some(share):
+    def break_workers(self, share: float, until: Seconds) -> None:
+        """Make a share of the workers fail every task until a time."""
+        for address in self.choose_workers(share):
             self._current_by_address[address].broken_until = until
 
     async def start(
@@ -267,65 +274,69 @@
             return worker
         if worker.entry.born != entry.born:
             return OrderAnswer(OrderResult.OTHER_INCARNATION)
-        if self._is_late(partial(self._start_late, entry, order)):
+        if self._maybe_delay(partial(self._start_late, entry, order)):
             await asyncio.sleep(timeout)
             return OrderAnswer(OrderResult.UNKNOWN)
-        worker.met = True
-        answer = self._carry_out(worker, order)
-        await asyncio.sleep(_TRAVELS)
+        worker.contacted = True
+        answer = self._execute_start(worker, order)
+        await asyncio.sleep(_ONE_WAY_LATENCY)
         return answer
 
-    def _is_late(self, carry_out: Callable[[], object]) -> bool:
-        """Draw whether an order is carried out later, and unanswered."""
+    def _maybe_delay(self, execute: Callable[[], object]) -> bool:
+        """Draw whether an order is executed late, without a response."""
         if not self._late_share or self._random.random() >= self._late_share:
             return False
-        after = self._random.uniform(*_LATE_BY)
-        asyncio.get_running_loop().call_later(after, carry_out)
+        after = self._random.uniform(*_LATE_ORDER_DELAY)
+        asyncio.get_running_loop().call_later(after, execute)
         return True
 
     def _start_late(self, entry: WorkerEntry, order: StartOrder) -> None:
         worker = self._current_by_address[entry.address]
-        if worker.over or worker.entry.name != entry.name:
+        if worker.crashed or worker.entry.name != entry.name:
             return
-        if worker.met:
-            self._carry_out(worker, order)
+        if worker.contacted:
+            self._execute_start(worker, order)
         else:
-            # No owner can have kept it out: nobody has heard of this life yet.
-            self.late_before_met += 1
-            self._carry_out(worker, order, judged=False)
+            # No owner could have fenced it off: none has contacted this one.
+            self.late_before_contact += 1
+            self._execute_start(worker, order, checked=False)
 
     def _acknowledge_late(self, entry: WorkerEntry, order: HoldOrder) -> None:
         worker = self._current_by_address[entry.address]
         same_name = worker.entry.name == entry.name
-        if same_name and not worker.over and worker.heeds(order.epoch):
+        if (
+            same_name
+            and not worker.crashed
+            and worker.accepts_epoch(order.epoch)
+        ):
             worker.forget(order.last_seen)
 
-    def _carry_out(
+    def _execute_start(
         self,
         worker: ModelWorker,
         order: StartOrder,
         *,
-        judged: bool = True,
+        checked: bool = True,
     ) -> OrderAnswer:
         now = _now()
         clock = worker.clock(now)
-        if not worker.heeds(order.epoch):
+        if not worker.accepts_epoch(order.epoch):
             return OrderAnswer(OrderResult.FENCED, clock)
         worker.renew(order.deadline, now)
         if order.key in worker.run_by_key:
             return OrderAnswer(OrderResult.TAKEN, clock)
-        refusal = worker.refusal(order, now)
-        if refusal is not None:
-            return OrderAnswer(refusal, clock)
-        job, step, index = self._drawn(order.key)
-        if job.queue.advice and not ticket_holds(order.ticket, now):
+        rejection = worker.rejection(order, now)
+        if rejection is not None:
+            return OrderAnswer(rejection, clock)
+        job, step, index = self._find_task(order.key)
+        if job.queue.advice and not ticket_is_valid(order.ticket, now):
             self.refused_tickets += 1
             return OrderAnswer(OrderResult.NO_TICKET, clock)
-        if judged:
-            self._judge(worker, order.key)
+        if checked:
+            self._check_start(worker, order.key)
         self.limits.start(job.tenant, job.spec.steps[step].size, now)
-        takes = job.work[step][index] * worker.slowness
-        self._begin(worker, order.key, job, takes)
+        duration = job.work[step][index] * worker.slowness
+        self._begin(worker, order.key, job, duration)
         return OrderAnswer(OrderResult.TAKEN, clock)
 
     def _begin(
@@ -333,40 +344,40 @@
         worker: ModelWorker,
         key: RunKey,
         job: DrawnJob,
-        takes: Seconds,
+        duration: Seconds,
     ) -> None:
-        """Begin a run; one that lasts ends by itself only if it fails."""
-        _, step, index = self._drawn(key)
+        """Begin a run; a long-running one ends by itself only if it fails."""
+        _, step, index = self._find_task(key)
         crashes_after = math.inf
         if (step, index) in job.crashing:
-            crashes_after = min(takes, job.queue.crashes_after)
+            crashes_after = min(duration, job.queue.crashes_after)
         ending = RunEnding.DONE
         broken = _now() < worker.broken_until or job.hopeless
         if broken or self._random.random() < job.queue.fails:
             ending = RunEnding.FAILED
-            takes *= self._random.random()
+            duration *= self._random.random()
         elif job.queue.stays is not None:
-            takes = math.inf
-        run = ModelRun(key, takes, ending, crashes_after)
+            duration = math.inf
+        run = ModelRun(key, duration, ending, crashes_after)
         worker.run_by_key[key] = run
         spec = job.spec.steps[step]
         if spec.gang:
             self.gangs.join(Member(worker, run), spec.count)
             return
-        if math.isfinite(takes):
+        if math.isfinite(duration):
             run.timer = asyncio.get_running_loop().call_later(
-                takes,
+                duration,
                 self._end,
                 worker,
                 key,
                 ending,
             )
-        self._set_to_work(worker, run)
+        self._begin_work(worker, run)
 
-    def _set_to_work(self, worker: ModelWorker, run: ModelRun) -> None:
-        """Have a run work; it may crash its worker."""
+    def _begin_work(self, worker: ModelWorker, run: ModelRun) -> None:
+        """Begin the work of a run, and schedule the crash that it causes."""
         loop = asyncio.get_running_loop()
-        run.began = loop.time()
+        run.started_at = loop.time()
         if math.isfinite(run.crashes_after):
             loop.call_later(run.crashes_after, self._crash, worker, run.key)
 
@@ -381,7 +392,7 @@
         worker = await self._reach(entry, timeout)
         if isinstance(worker, OrderAnswer):
             return worker
-        if not worker.meet(epoch):
+        if not worker.accept_order(epoch):
             return OrderAnswer(OrderResult.FENCED)
         self._end(worker, key, RunEnding.STOPPED)
         worker.reject(key)
@@ -398,10 +409,10 @@
         worker = await self._reach(entry, timeout)
         if isinstance(worker, OrderAnswer):
             return worker
-        if self._is_late(partial(self._acknowledge_late, entry, order)):
+        if self._maybe_delay(partial(self._acknowledge_late, entry, order)):
             await asyncio.sleep(timeout)
             return OrderAnswer(OrderResult.UNKNOWN)
-        if not worker.meet(order.epoch):
+        if not worker.accept_order(order.epoch):
             return OrderAnswer(OrderResult.FENCED)
         worker.renew(order.deadline, loop.time())
         worker.forget(order.last_seen)
@@ -410,22 +421,22 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(order.wait):
                     await worker.changed.wait()
-            if worker.over:
-                # Its open connections break.
+            if worker.crashed:
+                # A crash breaks the open connections.
                 return OrderAnswer(OrderResult.UNKNOWN)
         listing = worker.listing(loop.time())
-        await asyncio.sleep(_TRAVELS)
+        await asyncio.sleep(_ONE_WAY_LATENCY)
         return listing
 
     def size_of(self, key: RunKey) -> Size:
-        """Return the room that a run takes from its worker."""
+        """Return the capacity that a run uses on its worker."""
         return self._spec_of(key).charged
 
     def _spec_of(self, key: RunKey) -> StepSpec:
-        job, step, _ = self._drawn(key)
+        job, step, _ = self._find_task(key)
         return job.spec.steps[step]
 
-    def _drawn(self, key: RunKey) -> tuple[DrawnJob, int, int]:
+    def _find_task(self, key: RunKey) -> tuple[DrawnJob, int, int]:
         job_id, _, step, index = key.task.split('.')
         return self._find_job(job_id), int(step), int(index)
 
@@ -437,29 +448,29 @@
     ) -> None:
         if not worker.end(key, ending):
             return
-        self._note_over(key)
+        self._record_end(key)
         if ending is RunEnding.DONE:
-            self.history.note_done(key, self._tasks_done_by(key))
+            self.history.record_done(key, self._tasks_done_by(key))
         self.gangs.leave(key, ending)
 
     def _tasks_done_by(self, key: RunKey) -> list[TaskKey]:
-        """Return the tasks that are done if one is: of a gang all members."""
+        """Return the tasks completed by a run; all members' for a gang."""
         spec = self._spec_of(key)
         step_key = key.task.rpartition('.')[0]
         return step_tasks(step_key, spec) if spec.gang else [key.task]
 
-    def _note_over(self, key: RunKey) -> None:
-        self.history.note_over(key, _now())
-        job, step, _ = self._drawn(key)
+    def _record_end(self, key: RunKey) -> None:
+        self.history.record_end(key, _now())
+        job, step, _ = self._find_task(key)
         self.limits.end(job.tenant, job.spec.steps[step].size)
 
-    def _judge(self, worker: ModelWorker, key: RunKey) -> None:
-        """Count starts that break a promise."""
-        self.history.note_start(key, worker.entry.worker)
+    def _check_start(self, worker: ModelWorker, key: RunKey) -> None:
+        """Record a start, and count it if it exceeds the capacity."""
+        self.history.record_start(key, worker.entry.worker)
         sizes = map(self.size_of, (*worker.run_by_key, key))
         used = sum(sizes, Size())
-        judged = _now() - worker.room_since > _ROOM_HEARD_WITHIN
-        if judged and not used.fits(worker.entry.capacity):
+        checked = _now() - worker.capacity_since > _CAPACITY_CHANGE_GRACE
+        if checked and not used.fits(worker.entry.capacity):
             self.overfull += 1
 
 
@@ -467,8 +478,8 @@
     return asyncio.get_running_loop().time()
 
 
-def _nothing(name: WorkerName, entry: WorkerEntry | None) -> None:
-    """Have no store to write to."""
+def _publish_nothing(name: WorkerName, entry: WorkerEntry | None) -> None:
+    """Discard the entry: there is no store."""
 
 
 def _make_entry(load: CellLoad, number: int) -> WorkerEntry:
@@ -480,5 +491,5 @@
         zone=f'zone-{number % 5}',
         capacity=Size(load.cores * 1000, load.megabytes, load.accelerators),
         labels=('kind', f'rack-{number // load.rack}'),
-        born=int(TRAFFIC_BEGINS * _MILLIS) - number,
+        born=int(TRAFFIC_START * _MILLIS) - number,
     )
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -26,7 +26,7 @@
 
 
 class PlatformApi:
-    """Binds a log and a list of instances to HTTP."""
+    """Serves a log and an instance list over HTTP."""
 
     def __init__(self, retention: float) -> None:
         """Start empty."""
@@ -45,10 +45,10 @@
         """Append the body to a stream."""
         await asyncio.sleep(self.log.faults.delay)
         body = await request.read() or b''
-        stream = _route(request, 'stream')
+        stream = _route_value(request, 'stream')
         outcome = self.log.append(stream, body.decode())
         if isinstance(outcome, Ok):
-            return _answer({'offset': outcome.ok_value})
+            return _json_response({'offset': outcome.ok_value})
         if outcome.err_value is LogFailure.ANSWER_LOST:
             await asyncio.sleep(60)
         return Response(_DOWN)
@@ -56,12 +56,12 @@
     async def read(self, request: Request) -> Response:
         """Return a page of a stream."""
         await asyncio.sleep(self.log.faults.delay)
-        stream = _route(request, 'stream')
+        stream = _route_value(request, 'stream')
         start = int(request.query['start'][0])
         limit = int(request.query['limit'][0])
         outcome = self.log.read(stream, Offset(start), limit)
         if isinstance(outcome, Ok):
-            return _answer(outcome.ok_value)
+            return _json_response(outcome.ok_value)
         return Response(_DOWN)
 
     async def list_instances(self, request: Request) -> Response:
@@ -74,7 +74,7 @@
             for instance in self.instance_by_name.values()
             if instance.zone == zone
         ]
-        return _answer(found)
+        return _json_response(found)
 
     async def put_instance(self, request: Request) -> Response:
         """Add or change an instance."""
@@ -84,36 +84,36 @@
         return Response(_OK)
 
     async def delete_instance(self, request: Request) -> Response:
-        """Take an instance off the list."""
-        name = _route(request, 'name')
+        """Remove an instance from the list."""
+        name = _route_value(request, 'name')
         self.instance_by_name.pop(name, None)
         return Response(_OK)
 
     async def put_faults(self, request: Request) -> Response:
-        """Switch faults on or off."""
+        """Replace the injected faults."""
         raw = await request.read() or b''
         self.log.faults = msgspec.json.decode(raw, type=LogFaults)
         return Response(_OK)
 
 
-def _route(request: Request, name: str) -> str:
+def _route_value(request: Request, name: str) -> str:
     values = request.route_values or {}
     return str(values[name])
 
 
-def _answer(body: object) -> Response:
+def _json_response(body: object) -> Response:
     return Response(_OK, content=Content(_JSON, msgspec.json.encode(body)))
 
 
 def run(listen: str, retention: float = 3600) -> None:
-    """Run the stand-in until it is ended.
+    """Run the stand-in until it is terminated.
 
     Parameters
     ----------
     listen : str
-        ``host:port``; port 0 lets the system choose.
+        ``host:port``; port 0 lets the operating system choose.
     retention : float
-        Seconds for which records are kept.
+        Seconds for which records are retained.
     """
     configure_logs('info', daemon='standin-platform')
     bound = sockets.listen(listen)
--- a/standins/tests/loads.py
+++ b/standins/tests/loads.py
@@ -1,11 +1,11 @@
-"""Loads that several tests of the model start from."""
+"""Queue loads shared by several tests of the model."""
 
 from __future__ import annotations
 
 from standins.model import QueueLoad
 from standins.model.load import Draw
 
-#: Jobs of ten tasks that last, a tenth of whose runs fail.
+#: Jobs of ten long-running tasks, a tenth of whose runs fail.
 LISTENERS = QueueLoad(
     name='listeners',
     per_s=0.2,
@@ -21,10 +21,10 @@
     stays=Draw(80),
 )
 
-#: Of each worker on days with tasks of whole workers.
+#: Accelerators of each worker on days with tasks that need them all.
 ACCELERATORS = 8
-#: Tasks of half a worker's accelerators and more, few of whose workers are
-#: permitted; three jobs in ten fail whenever they run.
+#: Tasks that mostly need half of a worker's accelerators or more, with few
+#: permitted workers; all runs of three jobs in ten fail.
 LARGE = QueueLoad(
     name='large',
     per_s=0.6,
@@ -44,7 +44,7 @@
     good=0.3,
     accelerators=[2, 4, ACCELERATORS, ACCELERATORS],
 )
-#: Small tasks beside them.
+#: Small tasks that compete with `LARGE`.
 SMALL = QueueLoad(
     name='small',
     per_s=0.3,
--- a/standins/tests/test_held_back.py
+++ b/standins/tests/test_deferred_work.py
@@ -1,4 +1,4 @@
-"""Tests of work that is held back for other work: never without bound."""
+"""Tests that work deferred in favour of other work waits for a bounded time."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from standins.model.tenants import TenantLoad
 from standins.tests.loads import LISTENERS
 
-#: Estimates are far longer than such a task may be away.
+#: Its estimates far exceed the time for which a task may be interrupted.
 _LONG = msgspec.structs.replace(
     LISTENERS,
     per_s=0.5,
@@ -56,9 +56,9 @@
 )
 
 
-class HeldBackTest(TestCase):
-    def test_a_task_that_lasts_is_not_held_back_by_its_estimate(self) -> None:
-        """It says how long the task may last, not how long it may wait."""
+class DeferredWorkTest(TestCase):
+    def test_a_long_running_task_is_not_deferred_by_its_estimate(self) -> None:
+        """The estimate bounds how long a task runs, not how long it waits."""
         surges = [
             Surge('quick', at, lasts=3, times=2) for at in range(2, 40, 6)
         ]
@@ -72,8 +72,8 @@
         model.play()
         self.assertEqual([], model.lasting.left_waiting)
 
-    def test_no_tenant_waits_for_a_gang_that_finds_no_room(self) -> None:
-        """What lasts has the rest of its limit, and never ends."""
+    def test_no_tenant_waits_for_a_gang_that_never_fits(self) -> None:
+        """Long-running tasks use the rest of its limit, and never end."""
         tenant = TenantLoad('stores', share=1, weight=50, cores=150)
         lasting = msgspec.structs.replace(
             LISTENERS,
@@ -93,8 +93,8 @@
         ]
         self.assertEqual([(1, 0), (2, 0), (3, 0)], late)
 
-    def test_a_task_that_lasts_is_not_held_back_for_a_gang(self) -> None:
-        """Workers are kept for it, and it never finds room beside the rest."""
+    def test_a_long_running_task_is_not_deferred_for_a_gang(self) -> None:
+        """Workers are reserved for the gang, which never fits on the rest."""
         wide = msgspec.structs.replace(
             _LONG,
             name='wide',
--- a/standins/tests/test_few_lanes.py
+++ b/standins/tests/test_few_lanes.py
@@ -1,7 +1,7 @@
-"""Test of questions for advice where few machines are left to ask through.
+"""Test of advice requests with few lanes.
 
-Seen on drawn days and on the users' sites: with two instances left, steps were
-not asked about for 20 s, though a lane stood idle and most workers were free.
+With two instances left, no advice was requested for some steps for 20 s, though
+a lane was idle and most workers were free.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from standins.model.load import Draw
 
 _SEEDS = (1, 4, 6)
-#: Its calls take 0.56 s and more, so that they need more than one lane.
+#: Its advice calls take at least 0.56 s, so they need more than one lane.
 _LONG = QueueLoad(
     name='long',
     per_s=2,
@@ -29,7 +29,7 @@
     advice=(0.49, 0.007, 2.0),
     good=0.5,
 )
-#: Its calls take 0.02 s.
+#: Its advice calls take 0.02 s.
 _SHORT = QueueLoad(
     name='short',
     per_s=4,
@@ -49,7 +49,7 @@
 
 class FewLanesTest(TestCase):
     def test_long_calls_may_use_all_of_two_lanes(self) -> None:
-        """Guards against a lane kept idle while late questions wait."""
+        """Guards against a lane kept idle while late advice requests wait."""
         load = CellLoad([_LONG, _SHORT], workers=20, lanes=2, lasts=20)
         for seed in _SEEDS:
             model = CellModel(load, seed)
--- a/standins/tests/test_lasting.py
+++ b/standins/tests/test_lasting.py
@@ -1,18 +1,14 @@
-"""Tests of tasks that last: each is started again, whatever has failed before.
+"""Tests that long-running tasks are started again after failures.
 
-Seen on a users' site: a task that lasts had failed, as such tasks may at any
-time, and was not started again for longer than is granted, though permitted
-workers had room for it. Other jobs of the same owner ran well meanwhile.
+Guards against a failed long-running task that is not started again within the
+bound, though permitted workers have free capacity. A worker on which a task of
+the step had failed was avoided for as long as any other permitted worker
+accepted work, even if that one already ran as many tasks of the step as it may
+(seed 2 of the first day: 7 workers run a task, 5 are avoided for a failure, for
+as long as the job exists). The preference for other workers must be bounded.
 
-Brought about here: steps of one task a worker, a tenth of whose runs fail; on
-the second day few workers are permitted, and some fail all that they start.
-
-Caused by a preference that had no end: a worker on which a task of the step had
-failed was left out while any other permitted one was open, though that one held
-as many tasks of the step as it may, for as long as those work. Proved by the
-line `tasks wait` of such a task, which counts the step's workers by what keeps
-them from it (seed 2 of the first day: 7 hold a task, 5 were left out for a
-failure, as long as the job was there), and by its end with the bound.
+It takes steps with one task per worker, a tenth of whose runs fail; in the
+second test few workers are permitted, and some fail every task.
 """
 
 from __future__ import annotations
@@ -25,25 +21,25 @@
 from standins.tests.loads import LISTENERS
 
 _SEEDS = range(1, 5)
-#: Each task is on a worker of its own.
+#: Each task runs on a separate worker.
 _APART = msgspec.structs.replace(LISTENERS, apart=1)
 _ADVICE = (0.56, 0.008, 2.0)
 _BREAKAGES = [Breakage(at, lasts=2.5, share=0.33) for at in (6, 12)]
 
 
 class LastingTest(TestCase):
-    def assert_all_back(self, load: CellLoad) -> None:
-        """Play some days; none of their tasks may be left waiting."""
+    def assert_all_restarted(self, load: CellLoad) -> None:
+        """Simulate some days; none of their tasks may be left waiting."""
         for seed in _SEEDS:
             model = CellModel(load, seed)
             outcome = model.play()
             self.assertEqual((seed, []), (seed, model.lasting.left_waiting))
             self.assertEqual((0, 0), (outcome.overfull, outcome.doubled))
 
-    def test_a_task_is_back_though_all_other_workers_hold_one(self) -> None:
-        self.assert_all_back(CellLoad([_APART], workers=12, lasts=20))
+    def test_a_task_restarts_though_all_other_workers_run_one(self) -> None:
+        self.assert_all_restarted(CellLoad([_APART], workers=12, lasts=20))
 
-    def test_a_task_is_back_where_few_workers_are_permitted(self) -> None:
+    def test_a_task_restarts_where_few_workers_are_permitted(self) -> None:
         listeners = msgspec.structs.replace(
             _APART,
             advice=_ADVICE,
@@ -56,15 +52,15 @@
             lasts=20,
             breakages=_BREAKAGES,
         )
-        self.assert_all_back(load)
+        self.assert_all_restarted(load)
 
-    def test_a_task_that_fails_again_and_again_keeps_no_other_away(
+    def test_a_repeatedly_failing_task_does_not_block_others(
         self,
     ) -> None:
         """Steps wider than their permitted workers, half of whose runs fail.
 
-        A worker avoided for longer with each failure was free and left out for
-        most of the time, while others of the step waited for it.
+        Guards against a worker that is avoided for longer with each failure:
+        it is free but unused most of the time, while tasks of the step wait.
         """
         listeners = msgspec.structs.replace(
             _APART,
@@ -76,10 +72,10 @@
             good=0.3,
         )
         load = CellLoad([listeners], workers=48, lanes=8, lasts=30)
-        self.assert_all_back(load)
+        self.assert_all_restarted(load)
 
-    def test_a_task_is_back_on_a_full_cell(self) -> None:
-        """Room is where a run of the step has just failed, and only there."""
+    def test_a_task_restarts_on_a_full_cell(self) -> None:
+        """Only workers where a run of the step just failed have capacity."""
         listeners = msgspec.structs.replace(
             _APART,
             per_s=0.1,
@@ -91,4 +87,4 @@
             good=0.3,
         )
         load = CellLoad([listeners], workers=40, cores=32, lanes=8, lasts=20)
-        self.assert_all_back(load)
+        self.assert_all_restarted(load)
--- a/standins/tests/test_late_questions.py
+++ b/standins/tests/test_late_advice_requests.py
@@ -1,15 +1,14 @@
-"""Test of questions for advice that are late: each has its turn in time.
+"""Test that advice requests of late work are sent in time.
 
-Seen on drawn days: work with room on a permitted worker stood still for 4 to 12
-s. Brought about here: few lanes, and workers that fall silent for 2 s. What was
-started there needs a new ticket once they are back; it is late by then.
+Guards against work that stalls for 4 to 12 s though a permitted worker has
+free capacity. The queue puts requests of late work behind all that can still
+be in time, and only every fourth request sent is the one that has waited
+longest. So a step with one permitted worker lacks only a ticket while requests
+of later jobs are sent (seed 57: from 3.2 to 7.1 s).
 
-Caused by the order of questions: one of late work goes behind all that can
-still be in time, and only each fourth is the one that has waited longest.
-Proved by the line `tasks wait`: its one permitted worker lacks but a ticket,
-and its question waits while those of later jobs are asked (seed 57: from 3.2
-to 7.1 s).
-Without the silence no such day of 60 shows it, also on one lane.
+It takes few lanes, and workers that stop responding for 2 s: tasks started
+there need a new ticket afterwards and are late by then. Without such an outage,
+none of 60 days shows the failure, not even with one lane.
 """
 
 from __future__ import annotations
@@ -51,8 +50,8 @@
 _OUTAGES = [Outage(at=1, lasts=2, share=0.25) for _ in range(2)]
 
 
-class LateQuestionsTest(TestCase):
-    def test_work_that_lacks_but_a_ticket_starts_in_time(self) -> None:
+class LateAdviceRequestsTest(TestCase):
+    def test_work_that_lacks_only_a_ticket_starts_in_time(self) -> None:
         load = CellLoad(
             [_URGENT, _OTHER],
             workers=6,
--- a/standins/tests/test_model.py
+++ b/standins/tests/test_model.py
@@ -1,7 +1,7 @@
-"""Loads that broke a large cell, played in virtual time without a network.
+"""Tests of loads that overloaded a large cell, in virtual time.
 
-The figures are those of the users' fourth letter (270 workers, 97 machines to
-ask through, questions of 0.6 s and more), brought down to what a test can play.
+The users' cell has 270 workers, 97 instances that call the advice service, and
+advice calls of at least 0.6 s; sizes are scaled down for the tests.
 """
 
 from __future__ import annotations
@@ -48,7 +48,7 @@
     advice=(0.6, 0.0086, 1.5),
     good=0.25,
 )
-_CALM = """
+_SMALL_DAY = """
 workers = 4
 lasts = 2
 [[queues]]
@@ -63,45 +63,45 @@
 megabytes = { mean = 1000 }
 work = { mean = 0.3 }
 """
-#: Seconds for two short days, each in a process of its own.
+#: Timeout for two short days, each in a separate process, seconds.
 _LONGEST = 60
 _CELL = CellLoad([_URGENT, _WIDE], workers=40, lanes=14, lasts=15)
 
 
-def _play(load: CellLoad, seed: int = 1) -> Outcome:
+def _simulate(load: CellLoad, seed: int = 1) -> Outcome:
     return CellModel(load, seed).play()
 
 
 class ModelTest(TestCase):
     def test_a_day_repeats_for_its_seed(self) -> None:
         load = msgspec.structs.replace(_CELL, lasts=4)
-        first, again = _play(load), _play(load)
+        first, again = _simulate(load), _simulate(load)
         self.assertEqual(
             first._replace(processor_s=0),
             again._replace(processor_s=0),
         )
 
-    def test_no_promise_is_broken_beside_silent_workers(self) -> None:
+    def test_no_guarantee_is_violated_beside_unresponsive_workers(self) -> None:
         load = msgspec.structs.replace(
             _CELL,
             outages=[Outage(at=4, lasts=3, share=0.2)],
         )
-        outcome = _play(load)
+        outcome = _simulate(load)
         self.assertEqual((0, 0), (outcome.overfull, outcome.doubled))
 
-    def test_no_worker_is_overfilled_whose_room_shrinks(self) -> None:
+    def test_no_worker_is_overfilled_whose_capacity_shrinks(self) -> None:
         load = msgspec.structs.replace(
             _CELL,
             shrinkages=[Shrinkage(at=3, lasts=8, share=0.5, left=0.4)],
         )
-        self.assertEqual(0, _play(load).overfull)
+        self.assertEqual(0, _simulate(load).overfull)
 
 
 class ExperimentTest(TestCase):
     def test_the_command_prints_a_row_for_each_seed(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder) / 'calm.toml'
-            path.write_text(_CALM)
+            path.write_text(_SMALL_DAY)
             ran = subprocess.run(
                 [sys.executable, '-m', 'standins.model', path, '--seeds', '2'],
                 capture_output=True,
@@ -117,8 +117,8 @@
     def test_wide_steps_and_urgent_tasks_share_a_cell_near_its_limit(
         self,
     ) -> None:
-        """Wide steps whose permitted workers are full, with room elsewhere."""
-        outcome = _play(_CELL)
+        """Permitted workers of wide steps are full, others have capacity."""
+        outcome = _simulate(_CELL)
         self.assertGreater(outcome.by_queue['urgent'].worth, 0.95)
         self.assertGreater(outcome.by_queue['wide'].worth, 0.8)
 
@@ -129,15 +129,15 @@
             _CELL,
             surges=[Surge('urgent', 6, 4, 2)],
         )
-        outcome = _play(load)
+        outcome = _simulate(load)
         self.assertGreater(outcome.by_queue['urgent'].worth, 0.9)
 
     def test_late_work_does_not_starve_what_can_be_in_time(self) -> None:
-        """Far more work than room: what is in time must stay in time."""
+        """Work exceeds the capacity by far; urgent work must stay in time."""
         load = msgspec.structs.replace(
             _CELL,
             surges=[Surge('wide', 0, 15, 3)],
         )
-        outcome = _play(load)
+        outcome = _simulate(load)
         self.assertGreater(outcome.by_queue['urgent'].worth, 0.9)
         self.assertGreater(outcome.by_queue['wide'].worth, 0.25)
--- a/standins/tests/test_roles.py
+++ b/standins/tests/test_qos_classes.py
@@ -1,7 +1,7 @@
-"""Tests of tasks that serve and tasks that fill, which keep apart.
+"""Tests of latency-sensitive and best-effort tasks, kept separated.
 
-A task that fills slows those that serve, so neither is put beside the other.
-Each may be on all workers that the other needs, and have room left there.
+A best-effort task slows down latency-sensitive ones, so they are not colocated.
+Either may occupy all workers that the other needs, and leave capacity there.
 """
 
 from __future__ import annotations
@@ -40,9 +40,9 @@
 )
 
 
-class RolesTest(TestCase):
-    def assert_nothing_stands_still(self, *queues: QueueLoad) -> None:
-        """Play some days of less than half of the room of a cell."""
+class QosClassesTest(TestCase):
+    def assert_nothing_stalls(self, *queues: QueueLoad) -> None:
+        """Simulate days that use less than half of a cell's capacity."""
         for seed in _SEEDS:
             load = CellLoad(list(queues), workers=_WORKERS, lasts=25)
             model = CellModel(load, seed)
@@ -52,18 +52,18 @@
             self.assertEqual((seed, []), (seed, model.lasting.left_waiting))
             self.assertEqual((0, 0), (outcome.overfull, outcome.doubled))
 
-    def test_what_serves_is_not_held_up_by_what_fills(self) -> None:
-        self.assert_nothing_stands_still(_SERVING, _FILLING)
+    def test_best_effort_does_not_stall_latency_sensitive_tasks(self) -> None:
+        self.assert_nothing_stalls(_SERVING, _FILLING)
 
-    def test_nor_by_what_fills_and_lasts(self) -> None:
+    def test_long_running_best_effort_does_not_stall_them(self) -> None:
         lasting = msgspec.structs.replace(
             _FILLING,
             work=Draw(0.5),
             stays=Draw(80),
         )
-        self.assert_nothing_stands_still(_SERVING, lasting)
+        self.assert_nothing_stalls(_SERVING, lasting)
 
-    def test_what_fills_is_not_held_up_by_what_serves(self) -> None:
+    def test_latency_sensitive_does_not_stall_best_effort_tasks(self) -> None:
         everywhere = msgspec.structs.replace(
             _SERVING,
             per_s=0.3,
@@ -75,4 +75,4 @@
             per_s=0.3,
             work=Draw(6, 0.5, 9),
         )
-        self.assert_nothing_stands_still(everywhere, short)
+        self.assert_nothing_stalls(everywhere, short)
--- a/standins/tests/test_returning_workers.py
+++ b/standins/tests/test_returning_workers.py
@@ -1,14 +1,11 @@
-"""Workers that start again under the ids that they had.
-
-Seen: a task whose first run had ended well, and whose end its owner had
-acknowledged, was started again half a second later on another worker. How it
-came about: workers crashed and were back within seconds under the same ids,
-with the numbers of their ends counted anew. Cause: the number of the last end
-that the owner had acknowledged was kept for the id; sent to the next life, it
-acknowledged ends that the owner had never heard of, and the listing after that
-lacked their runs, which were taken for gone. What proved it: the same day
-played here, in virtual time around one real owner, repeats tasks whose worker
-had long been back, each time between two looks.
+"""Tests of workers that restart under the same id.
+
+Guards against repeating a task half a second after its run was done and its end
+acknowledged. Workers that crash and restart within seconds number their ends
+from the start again. An owner that keeps the number of the last acknowledged
+end per id sends it to the next incarnation, and so acknowledges ends that it
+has never received: those between two polls. Their runs are missing from the
+next listing, and are taken for lost.
 """
 
 from __future__ import annotations
@@ -25,17 +22,17 @@
 _DAYS = pathlib.Path(__file__).parents[1] / 'model' / 'days'
 
 
-def _play(seed: int) -> Outcome:
+def _simulate(seed: int) -> Outcome:
     return CellModel(read_load(str(_DAYS / 'returning.toml')), seed).play()
 
 
 class ReturningWorkerTest(TestCase):
     def test_no_task_is_repeated_after_an_acknowledged_end(self) -> None:
-        outcome = _play(seed=1)
-        self.assertGreater(outcome.crashes.lost_beside, 0)
+        outcome = _simulate(seed=1)
+        self.assertGreater(outcome.crashes.lost_to_other_crashes, 0)
         self.assertEqual((0, 0), (outcome.repeated, outcome.doubled))
 
-    def test_a_task_that_crashes_workers_is_given_up_all_the_same(self) -> None:
+    def test_a_task_that_crashes_such_workers_is_abandoned(self) -> None:
         load = read_load(str(_DAYS / 'crashing.toml'))
         load = msgspec.structs.replace(load, keeps_names=True)
         outcome = CellModel(load, seed=1).play()
@@ -43,41 +40,43 @@
         self.assertEqual(0, outcome.crashes.over_budget)
         self.assertEqual((0, 0), (outcome.repeated, outcome.doubled))
 
-    def test_what_the_next_life_carries_out_late_doubles_nothing(self) -> None:
-        """Orders without an answer, made for the life before.
+    def test_late_orders_to_the_next_incarnation_duplicate_nothing(
+        self,
+    ) -> None:
+        """Unanswered orders for the previous incarnation arrive late.
 
-        A start is carried out by the next life while the task runs elsewhere;
-        an acknowledgement makes it forget ends that nobody has heard of.
+        The next incarnation executes a start while the task runs elsewhere;
+        an acknowledgement makes it discard ends that were never reported.
         """
         load = read_load(str(_DAYS / 'returning_late.toml'))
         for seed in (1, 2, 3):
             outcome = CellModel(load, seed).play()
-            broken = outcome.repeated, outcome.doubled, outcome.overfull
-            self.assertEqual((0, 0, 0), broken)
-
-    def test_a_late_start_meets_a_higher_token_in_the_next_life(self) -> None:
-        """A start in doubt came 0.7 s after the next life began.
-
-        That life had seen the start's own token and none above it, so the task
-        ran again though its second run was done and acknowledged. The token was
-        that of another start carried out late, 0.1 s after the life began;
-        both came before any order of the owner's own reached that life, though
-        it had tried twice (its calls of 10.8 s and 11.0 s got no answer). No
-        order can make void what comes before the first that arrives.
+            violations = outcome.repeated, outcome.doubled, outcome.overfull
+            self.assertEqual((0, 0, 0), violations)
+
+    def test_a_late_start_meets_a_higher_fencing_token(self) -> None:
+        """Guards against a late start repeating an acknowledged run.
+
+        An unconfirmed start reached the next incarnation 0.7 s after it began.
+        That had seen no fencing token above the start's own, which another
+        late start had brought 0.1 s after it began, so the task ran again
+        though its second run was done and acknowledged. Both arrived before
+        any timely order of the owner, whose calls at 10.8 s and 11.0 s got no
+        response. No order can fence off what arrives before the first one.
         """
         load = read_load(str(_DAYS / 'returning_late.toml'))
         for seed in (8, 13, 15):
             outcome = CellModel(load, seed).play()
-            broken = outcome.repeated, outcome.doubled, outcome.overfull
-            self.assertEqual((0, 0, 0), broken)
-            # Seed 8 draws no such start any more since gangs share a fate.
-            self.assertEqual(seed > 8, outcome.late_before_met > 0)
+            violations = outcome.repeated, outcome.doubled, outcome.overfull
+            self.assertEqual((0, 0, 0), violations)
+            # Seed 8 draws no such start, as members of a gang end together.
+            self.assertEqual(seed > 8, outcome.late_before_contact > 0)
 
-    def test_what_is_carried_out_late_meets_nobody(self) -> None:
-        """The judge excuses late starts only while no owner was heard."""
+    def test_late_execution_does_not_count_as_contact(self) -> None:
+        """Late starts are excused only until an owner contacts the worker."""
         load = read_load(str(_DAYS / 'returning_late.toml'))
         worker = next(iter(CellModel(load, 1).workers.by_name.values()))
-        self.assertTrue(worker.heeds(Epoch(2)))
-        self.assertFalse(worker.met)
-        self.assertTrue(worker.meet(Epoch(2)))
-        self.assertTrue(worker.met)
+        self.assertTrue(worker.accepts_epoch(Epoch(2)))
+        self.assertFalse(worker.contacted)
+        self.assertTrue(worker.accept_order(Epoch(2)))
+        self.assertTrue(worker.contacted)
--- a/standins/tests/test_starvation.py
+++ b/standins/tests/test_starvation.py
@@ -1,11 +1,9 @@
-"""Tests of tasks that wait though there is room: each has its turn in time.
+"""Test that tasks do not starve while there is free capacity.
 
-Seen on a users' site: a task of a whole worker, three in its step and no gang,
-had failed twice and was not started a third time for the 9.3 s that were left,
-though most of its service's room was free.
-
-Brought about here: steps of whole workers, few of which are permitted, and jobs
-that fail whenever they run, each of which may fail often.
+Guards against a task of a whole worker, one of three in a step without a gang,
+that failed twice and was not started a third time in 9.3 s, though most of the
+capacity of its service was free. It takes steps of whole workers, few of which
+are permitted, and jobs that always fail and have many attempts.
 """
 
 from __future__ import annotations
@@ -19,10 +17,10 @@
 
 
 class StarvationTest(TestCase):
-    def test_tasks_of_whole_workers_start_while_half_of_the_room_is_free(
+    def test_tasks_of_whole_workers_start_while_half_the_capacity_is_free(
         self,
     ) -> None:
-        """Guards against tasks left waiting by those that fail again."""
+        """Guards against tasks starved by others that fail repeatedly."""
         load = CellLoad(
             [LARGE, SMALL],
             workers=8,
--- a/standins/tests/test_tenants.py
+++ b/standins/tests/test_tenants.py
@@ -1,9 +1,9 @@
-"""Tenants of one cell: what each may run, and what the others notice of it.
+"""Tests of the limits and fair shares of tenants in one cell.
 
-Seen: on a cell whose keys, limits and shares nobody read, single tenants had
-far more running than their limits allow, and one that sent many times its usual
-took the room of all others. The sizes are those of the users' cell of twenty
-tenants, brought down to what a test can play.
+Guards against tenants that exceed their limits, and a tenant that submits many
+times its usual load and takes the capacity of all others; both occur if keys,
+limits and shares are ignored. Sizes are those of the users' cell of twenty
+tenants, scaled down to what a test can simulate.
 """
 
 from __future__ import annotations
@@ -68,14 +68,14 @@
     tenants=_TENANTS,
 )
 
-#: Worth that the others of a hot tenant may lose, as the users ask.
-_COST = 0.02
-#: Worth of urgent jobs that are served while their tenant is at its limit:
-#: nine in ten, since the wide ones have time.
+#: Share of worth that other tenants may lose to a hot one; the users' bound.
+_MAX_LOSS = 0.02
+#: Share of worth that urgent jobs earn at least while their tenant is at its
+#: limit; the wide jobs can wait.
 _URGENT_SERVED = 0.9
 
 
-def _play(load: CellLoad, seed: int = 1) -> Outcome:
+def _simulate(load: CellLoad, seed: int = 1) -> Outcome:
     return CellModel(load, seed).play()
 
 
@@ -88,31 +88,37 @@
             late_share=0.05,
         )
         for seed in (1, 2):
-            self.assertEqual(0, _play(late, seed).over_limit)
+            self.assertEqual(0, _simulate(late, seed).over_limit)
 
-    def test_a_limit_that_falls_takes_hold(self) -> None:
+    def test_a_lowered_limit_is_enforced(self) -> None:
         falls = LimitChange('large', at=5, cores=40)
         load = msgspec.structs.replace(_CELL, limit_changes=[falls])
-        self.assertEqual(0, _play(load).over_limit)
+        self.assertEqual(0, _simulate(load).over_limit)
 
     def test_a_hot_tenant_costs_the_others_nothing(self) -> None:
-        """Four times its usual for 8 s, without limits that would hold it."""
+        """Six times its usual load for 8 s, with no limit that would cap it."""
         free = [msgspec.structs.replace(tenant, cores=0) for tenant in _TENANTS]
-        calm = msgspec.structs.replace(_CELL, tenants=free)
+        baseline = msgspec.structs.replace(_CELL, tenants=free)
         hot = msgspec.structs.replace(
-            calm,
+            baseline,
             hot_spells=[HotSpell('large', at=2, lasts=8, times=6)],
         )
         for name in ('middling', 'small'):
-            without = [_play(calm, seed).by_tenant[name] for seed in (1, 2, 3)]
-            beside = [_play(hot, seed).by_tenant[name] for seed in (1, 2, 3)]
-            self.assertLessEqual(sum(without) / 3 - sum(beside) / 3, _COST)
+            without = [
+                _simulate(baseline, seed).by_tenant[name] for seed in (1, 2, 3)
+            ]
+            with_hot = [
+                _simulate(hot, seed).by_tenant[name] for seed in (1, 2, 3)
+            ]
+            self.assertLessEqual(
+                sum(without) / 3 - sum(with_hot) / 3, _MAX_LOSS
+            )
 
     def test_urgent_work_does_not_wait_behind_its_tenant_s_limit(self) -> None:
         """A small tenant whose wide steps fill its limit for many seconds.
 
-        Seen on a quiet day: urgent jobs of one tenant waited 11 to 13 s behind
-        its own wide ones, which took each part of its limit that came free.
+        Guards against urgent jobs that wait for 11 to 13 s behind wide ones of
+        the same tenant, which take each part of its limit that becomes free.
         """
         wide = msgspec.structs.replace(_MIDDLE, per_s=1.6)
         load = msgspec.structs.replace(
@@ -120,15 +126,15 @@
             queues=[msgspec.structs.replace(_URGENT, per_s=3), wide],
             tenants=[TenantLoad('only', share=1, weight=10, cores=150)],
         )
-        outcomes = [_play(load, seed) for seed in range(1, 13)]
+        outcomes = [_simulate(load, seed) for seed in range(1, 13)]
         urgent = [one.by_queue['urgent'].worth for one in outcomes]
         self.assertGreater(statistics.fmean(urgent), _URGENT_SERVED)
 
     def test_a_gang_that_needs_most_of_a_limit_does_not_starve(self) -> None:
         """A gang of four fifths of its tenant's limit, beside small tasks.
 
-        They use just under half of the limit, so the gang would wait for
-        ever though its tenant uses less than half of what it may.
+        The small tasks use just under half of the limit, so the gang would
+        wait forever though its tenant uses less than half of its limit.
         """
         gang = msgspec.structs.replace(
             _MIDDLE,
@@ -157,7 +163,7 @@
             queues=[gang, small],
             tenants=[TenantLoad('only', share=1, weight=10, cores=100)],
         )
-        outcomes = [_play(load, seed) for seed in (1, 2, 3)]
+        outcomes = [_simulate(load, seed) for seed in (1, 2, 3)]
         gangs = [one.by_queue['gang'] for one in outcomes]
         self.assertGreater(sum(one.jobs for one in gangs), 5)
         self.assertEqual([0, 0, 0], [one.unfinished for one in gangs])
--- a/standins/tests/test_urgent_beside_late_calls.py
+++ b/standins/tests/test_urgent_beside_late_calls.py
@@ -1,6 +1,6 @@
-"""Tests of urgent work on few lanes that long calls for advice fill.
+"""Test of urgent work while long advice calls occupy the few lanes.
 
-It asks by quick calls, for which some of the lanes are kept.
+Urgent work needs short advice calls, for which some lanes are reserved.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     def test_most_urgent_work_is_in_time_while_long_calls_are_late(
         self,
     ) -> None:
-        """Guards against late long calls that take the kept lanes too."""
+        """Guards against late long calls that occupy the reserved lanes."""
         load = CellLoad(
             [_LARGE, _SMALL, _URGENT],
             workers=16,
--- a/standins/transport.py
+++ b/standins/transport.py
@@ -1,4 +1,4 @@
-"""A transport straight to worker machines in the same process."""
+"""An in-process transport to worker state machines."""
 
 from __future__ import annotations
 
@@ -14,25 +14,25 @@
 
 
 def _do_nothing() -> None:
-    """Stand for a hook that no test has set."""
+    """Default hook of `MachineTransport.after_call`."""
 
 
 class MachineTransport:
-    """Calls worker machines by address, with the real encoding.
+    """Calls worker state machines by address, using the wire encoding.
 
     Attributes
     ----------
     failing : dict
-        Failure that every call to an address has, for tests.
+        Failure injected into every call to an address.
     """
 
     def __init__(
         self, machine_by_address: dict[Address, WorkerMachine]
     ) -> None:
-        """Reach the machines given."""
+        """Use the given state machines."""
         self.machine_by_address = machine_by_address
         self.failing: dict[Address, CallFailure] = {}
-        #: Called after each answer was made, before it is delivered.
+        #: Called after a message is handled, before its response is returned.
         self.after_call: Callable[[], None] = _do_nothing
 
     async def call(
--- a/standins/worker.py
+++ b/standins/worker.py
@@ -26,17 +26,17 @@
 _log = structlog.get_logger()
 
 
-class _LoudJournal(list[JournalEntry]):
-    """Writes each entry to standard output, for whoever judges the run."""
+class _LoggedJournal(list[JournalEntry]):
+    """Logs each entry, so that the run can be checked afterwards."""
 
     def append(self, entry: JournalEntry) -> None:
-        """Write one entry; nothing is kept."""
+        """Log one entry without storing it."""
         _log.info('journal', entry=entry._asdict())
 
 
-class _LoudFaults(list[str]):
+class _LoggedFaults(list[str]):
     def append(self, fault: str) -> None:
-        """Write one fault; nothing is kept."""
+        """Log one fault without storing it."""
         _log.error('fault', fault=fault)
 
 
@@ -50,16 +50,16 @@
     accelerators: int = 0,
     fail: bool = False,
 ) -> None:
-    """Run a worker until it is ended.
+    """Run a worker until it is terminated.
 
     Parameters
     ----------
     name, zone, rack : str
-        As the platform lists the instance.
+        Attributes of the instance in the platform's list.
     platform : str
-        Address of the platform.
+        Base URL of the platform.
     fail : bool
-        Fail every task at once.
+        Whether every task fails immediately.
     """
     capacity = Resources(
         cores,
@@ -76,8 +76,8 @@
         boot=secrets.token_hex(4),
         first_epoch=int(time.time()),
     )
-    machine.journal = _LoudJournal()
-    machine.faults = _LoudFaults()
+    machine.journal = _LoggedJournal()
+    machine.faults = _LoggedFaults()
     machine.behaviour.fail_everything = fail
     asyncio.run(_serve(machine, ZoneId(zone), rack, platform))
 
