--- a/orchidrail/gateway/__init__.py
+++ b/orchidrail/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway daemon: callers' requests over HTTP."""
+"""Gateway daemon, which serves callers over HTTP."""
--- a/orchidrail/gateway/bodies.py
+++ b/orchidrail/gateway/bodies.py
@@ -1,4 +1,4 @@
-"""Bodies of the callers' interface, as checked records."""
+"""Validated request and response bodies of the HTTP API."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from orchidrail.resources import Resources
 from orchidrail.types import ClassName
 
-_Positive = Annotated[float, Meta(gt=0)]
-_Amount = Annotated[float, Meta(ge=0)]
-_Whole = Annotated[int, Meta(ge=0)]
-#: Most tasks that one job may have.
+_PositiveFloat = Annotated[float, Meta(gt=0)]
+_NonNegativeFloat = Annotated[float, Meta(ge=0)]
+_NonNegativeInt = Annotated[int, Meta(ge=0)]
+#: Maximum number of tasks of a job.
 MAX_TASKS = 10_000
 
 
@@ -24,15 +24,15 @@
     rename='camel',
     forbid_unknown_fields=True,
 ):
-    """Base of the bodies; an unknown field is an error."""
+    """Base class of all bodies; rejects unknown fields."""
 
 
 class SizeBody(_Body, frozen=True):
-    """Room that each task of a job needs."""
+    """Resources that each task of a job needs."""
 
-    cores: _Amount = 0
-    memory: _Amount = 0
-    accelerators: _Whole = 0
+    cores: _NonNegativeFloat = 0
+    memory: _NonNegativeFloat = 0
+    accelerators: _NonNegativeInt = 0
 
     def as_resources(self) -> Resources:
         """Return the size as resources."""
@@ -40,34 +40,34 @@
 
 
 class KeyBody(_Body, frozen=True):
-    """``POST /v1/keys``."""
+    """Request body of ``POST /v1/keys``."""
 
     class_name: ClassName = msgspec.field(name='class')
 
 
 class RequestBody(_Body, frozen=True):
-    """``POST /v1/requests``."""
+    """Request body of ``POST /v1/requests``."""
 
     class_name: ClassName = msgspec.field(name='class')
     payload: Any = None
     key: str = ''
-    #: Seconds to wait for a place; the class's timeout if left out.
-    patience: _Positive | None = None
+    #: Maximum seconds to wait for a grant; by default the class's timeout.
+    patience: _PositiveFloat | None = None
 
 
 class JobBody(_Body, frozen=True):
-    """``POST /v1/jobs``."""
+    """Request body of ``POST /v1/jobs``."""
 
     class_name: ClassName = msgspec.field(name='class')
     key: str
     payload: Any = None
     count: Annotated[int, Meta(ge=1, le=MAX_TASKS)] = 1
     size: SizeBody | None = None
-    patience: _Positive = 5
+    patience: _PositiveFloat = 5
 
 
 class ReplyBody(_Body, frozen=True):
-    """Answer to a request."""
+    """Response body of ``POST /v1/requests``."""
 
     verdict: str
     answer: str = ''
@@ -75,13 +75,13 @@
 
 
 class KeyReply(_Body, frozen=True):
-    """Answer to ``POST /v1/keys``."""
+    """Response body of ``POST /v1/keys``."""
 
     key: str
 
 
 class JobReply(_Body, frozen=True):
-    """A job's status."""
+    """Status of a job."""
 
     job: str
     verdict: str
@@ -102,6 +102,6 @@
     status: int
     detail: str
     verdict: str
-    #: Seconds after which to come back; as in the ``Retry-After`` header.
+    #: Seconds after which to retry, as in the ``Retry-After`` header.
     retry_after: float | None = None
     field: str | None = None
--- a/orchidrail/gateway/daemon.py
+++ b/orchidrail/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""The gateway daemon: checks requests, runs them, accepts jobs."""
+"""Gateway daemon: validates and runs requests, and accepts jobs."""
 
 from __future__ import annotations
 
@@ -53,36 +53,36 @@
     from orchidrail.settings import GatewaySettings
 
 _BUNDLE_STREAM = 'bundle'
-_TIMEOUT: Seconds = 2
+_CALL_TIMEOUT: Seconds = 2
 _SUBMIT_MARGIN: Seconds = 3
-#: Between two questions for a bundle to the schedulers.
-_CATCH_UP: Seconds = 1
-_FOLLOW_STEP: Seconds = 0.2
-_LIMITED_RETRY: Seconds = 1
+#: Interval at which a stale bundle is fetched from the schedulers.
+_BUNDLE_FETCH_INTERVAL: Seconds = 1
+_STATUS_POLL_INTERVAL: Seconds = 0.2
+_RATE_LIMIT_RETRY_AFTER: Seconds = 1
 
 
 class BadInputError(ValueError):
-    """A request that can't be taken; nothing was queued.
+    """Invalid input; nothing was queued or run.
 
     Parameters
     ----------
     field : str
-        The offending field.
+        Name of the invalid field.
     detail : str
         The value found and what was expected.
     """
 
     def __init__(self, field: str, detail: str) -> None:
-        """Keep both parts."""
+        """Keep the field apart from the message."""
         self.field = field
         super().__init__(detail)
 
 
 class GatewayDaemon:
-    """One gateway, apart from its HTTP side."""
+    """One gateway without its HTTP server."""
 
     def __init__(self, settings: GatewaySettings, ports: Ports) -> None:
-        """Build the parts; `run` starts them."""
+        """Build the components; `run` starts them."""
         self.settings = settings
         self.ports = ports
         self.metrics = GatewayMetrics()
@@ -116,26 +116,26 @@
         )
 
     async def run(self) -> None:
-        """Follow the bundle until cancelled."""
+        """Keep the bundle up to date until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self.follower.run())
-            group.create_task(self._catch_up())
+            group.create_task(self._keep_bundle_current())
 
     async def issue_key(
         self,
         tenant: TenantId,
         class_name: ClassName,
     ) -> Result[str, Reply]:
-        """Issue a key for a request or job that may not be repeated."""
+        """Issue a key for a request or job that must not be repeated."""
         self._class_of(class_name)
         limited = self._limit(tenant)
         if limited is not None:
             return Err(limited)
         message = KeyRequest(tenant=tenant, class_name=class_name)
-        _, answer = await self.client.ask_any(
+        _, answer = await self.client.call_any(
             self.settings.zone,
             message,
-            _TIMEOUT,
+            _CALL_TIMEOUT,
         )
         if isinstance(answer, KeyIssued):
             return Ok(answer.key)
@@ -147,7 +147,7 @@
         Raises
         ------
         BadInputError
-            If the body can't be taken; nothing ran.
+            If the body is invalid; nothing ran.
         """
         work_class = self._class_of(body.class_name)
         if work_class.kind is not WorkKind.REQUEST:
@@ -175,12 +175,12 @@
         tenant: TenantId,
         body: JobBody,
     ) -> Result[JobStatus, Reply]:
-        """Accept a job for good, or refuse it.
+        """Submit a job; once accepted it is durable.
 
         Raises
         ------
         BadInputError
-            If the body can't be taken; nothing was queued.
+            If the body is invalid; nothing was queued.
         """
         work_class = self._class_of(body.class_name)
         if work_class.kind is WorkKind.REQUEST:
@@ -215,17 +215,22 @@
         wait: Seconds,
         known_state: str,
     ) -> Result[JobStatus, Reply]:
-        """Return a job's status, or wait until it isn't `known_state`."""
-        end = self.ports.clock() + wait
+        """Return a job's status.
+
+        Waits up to `wait` seconds for a state other than `known_state`.
+        """
+        wait_until = self.ports.clock() + wait
         while True:
-            answer = await self._ask_all_zones(QueryJob(job=job, tenant=tenant))
+            answer = await self._call_all_zones(
+                QueryJob(job=job, tenant=tenant)
+            )
             changed = (
                 not isinstance(answer, JobStatus)
                 or answer.state.value != known_state
             )
-            if changed or self.ports.clock() >= end:
+            if changed or self.ports.clock() >= wait_until:
                 return status_or_reply(answer)
-            await asyncio.sleep(_FOLLOW_STEP)
+            await asyncio.sleep(_STATUS_POLL_INTERVAL)
 
     async def cancel_job(
         self,
@@ -233,25 +238,25 @@
         job: JobId,
     ) -> Message:
         """Cancel a job of the tenant."""
-        return await self._ask_all_zones(CancelJob(job=job, tenant=tenant))
+        return await self._call_all_zones(CancelJob(job=job, tenant=tenant))
 
     def ready(self) -> bool:
-        """Tell whether requests can be served."""
+        """Return whether requests can be served: a bundle is loaded."""
         return self.bundle.version > 0
 
     async def _submit(self, message: SubmitJob) -> Result[JobStatus, Reply]:
         zone = message.job.zone
         timeout = message.patience + _SUBMIT_MARGIN
         for address in self.client.order(zone):
-            answer = await self.client.ask(address, message, timeout)
+            answer = await self.client.call_scheduler(address, message, timeout)
             if isinstance(answer, Ok):
                 if is_not_holder(answer.ok_value):
                     continue
                 return status_or_reply(answer.ok_value)
             if answer.err_value.value != 'notSent':
-                return Err(_unsure())
-        detail = f'no scheduler of zone {zone!r} can be reached'
-        # An earlier try with this key may have been accepted.
+                return Err(_unknown_outcome())
+        detail = f'no scheduler of zone {zone!r} is reachable'
+        # An earlier submission with this key may have been accepted.
         return Err(
             Reply(
                 Verdict.MAY_HAVE_RUN,
@@ -261,26 +266,26 @@
             ),
         )
 
-    async def _ask_all_zones(self, message: Message) -> Message:
+    async def _call_all_zones(self, message: Message) -> Message:
         answer: Message = Refusal(code=RefusalCode.UNKNOWN)
         zones = {self.settings.zone: None, **self.settings.foreign_schedulers}
         for zone in zones:
-            _, answer = await self.client.ask_any(
+            _, answer = await self.client.call_any(
                 ZoneId(zone),
                 message,
-                _TIMEOUT,
+                _CALL_TIMEOUT,
             )
             if not isinstance(answer, Refusal):
                 break
         return answer
 
     def _class_of(self, name: ClassName) -> WorkClass:
-        known = self.bundle.bundle.classes.get(name)
-        if known is None:
+        work_class = self.bundle.bundle.classes.get(name)
+        if work_class is None:
             expected = sorted(self.bundle.bundle.classes)
             detail = f'got {name!r}, expected one of {expected!r}'
             raise BadInputError('class', detail)
-        return known
+        return work_class
 
     def _key_of(self, text: str, *, required: bool) -> ParsedKey | None:
         if not text:
@@ -297,13 +302,13 @@
         raise BadInputError('key', parsed.err_value)
 
     def _limit(self, tenant: TenantId) -> Reply | None:
-        if self.access.take(tenant, self.ports.clock()):
+        if self.access.admit(tenant, self.ports.clock()):
             return None
         return Reply(
             Verdict.NOT_RUN,
             code=RefusalCode.QUOTA,
-            detail=f'{tenant!r} is over its rate',
-            retry_after=jitter(self.ports.random, _LIMITED_RETRY),
+            detail=f'tenant {tenant!r} exceeds its request rate',
+            retry_after=jitter(self.ports.random, _RATE_LIMIT_RETRY_AFTER),
         )
 
     async def _refuse_limited(
@@ -320,19 +325,19 @@
             limited.retry_after,
         )
 
-    async def _catch_up(self) -> None:
-        """Get the bundle from the schedulers when the log can't be read."""
+    async def _keep_bundle_current(self) -> None:
+        """Fetch the bundle from schedulers after a log failure or gap."""
         while True:
             if not self.follower.connected or self.bundle.gap:
                 await self._fetch_bundle()
-            await asyncio.sleep(_CATCH_UP)
+            await asyncio.sleep(_BUNDLE_FETCH_INTERVAL)
 
     async def _fetch_bundle(self) -> None:
-        question = FetchBundle(newer_than=self.bundle.version)
-        _, answer = await self.client.ask_any(
+        fetch_request = FetchBundle(newer_than=self.bundle.version)
+        _, answer = await self.client.call_any(
             self.settings.zone,
-            question,
-            _TIMEOUT,
+            fetch_request,
+            _CALL_TIMEOUT,
         )
         if not isinstance(answer, BundleSnapshot):
             return
@@ -348,16 +353,16 @@
 
 
 def text_of(payload: Any) -> str:
-    """Return a payload as the text that workers get."""
+    """Return a payload as the text sent to workers."""
     if isinstance(payload, str):
         return payload
     return msgspec.json.encode(payload).decode()
 
 
 def reply_of(answer: Message) -> Reply:
-    """Return a refusal as a reply."""
+    """Convert a refusal to a reply."""
     if not isinstance(answer, Refusal):
-        return _unsure()
+        return _unknown_outcome()
     return Reply(
         answer.verdict,
         code=answer.code,
@@ -367,16 +372,16 @@
 
 
 def status_or_reply(answer: Message) -> Result[JobStatus, Reply]:
-    """Return a job's status, or why there is none."""
+    """Return a job's status, or the refusal as a reply."""
     if isinstance(answer, JobStatus):
         return Ok(answer)
     return Err(reply_of(answer))
 
 
-def _unsure() -> Reply:
+def _unknown_outcome() -> Reply:
     return Reply(
         Verdict.MAY_HAVE_RUN,
         code=RefusalCode.UNKNOWN,
-        detail='the answer was lost; ask for the job by its key',
+        detail='the scheduler response was lost; query the job by its key',
         retry_after=1,
     )
--- a/orchidrail/gateway/directory.py
+++ b/orchidrail/gateway/directory.py
@@ -1,4 +1,4 @@
-"""Which schedulers a gateway asks."""
+"""Selection of the schedulers that a gateway calls."""
 
 from __future__ import annotations
 
@@ -11,55 +11,55 @@
     from collections.abc import Callable
     from random import Random
 
-#: How long a scheduler that failed is asked only if no other is left.
-_SHUN: Seconds = 1
+#: How long a failed scheduler is called only after all others.
+_FAILURE_BACKOFF: Seconds = 1
 
 
 class SchedulerDirectory:
-    """The schedulers of each zone, with how busy this gateway keeps them.
+    """Schedulers of each zone, with the calls in flight to each.
 
     Parameters
     ----------
-    by_zone : dict
-        Addresses from the settings.
+    addresses_by_zone : dict
+        Scheduler addresses by zone, from the settings.
     """
 
     def __init__(
         self,
-        by_zone: dict[ZoneId, list[Address]],
+        addresses_by_zone: dict[ZoneId, list[Address]],
         random: Random,
         clock: Callable[[], Seconds],
     ) -> None:
-        """Start with none known to fail."""
-        self._by_zone = by_zone
+        """Start without calls in flight or schedulers in backoff."""
+        self._addresses_by_zone = addresses_by_zone
         self._random = random
         self._clock = clock
-        self._shunned_until: dict[Address, Seconds] = {}
-        self._asked: dict[Address, int] = defaultdict(int)
+        self._backoff_until: dict[Address, Seconds] = {}
+        self._in_flight: dict[Address, int] = defaultdict(int)
 
     def order(self, zone: ZoneId) -> list[Address]:
-        """Return a zone's schedulers in the order to ask them.
+        """Return a zone's schedulers in the order to call them.
 
-        The less busy of two drawn at random comes first (power of two
-        choices); those that failed lately come last.
+        Of two random schedulers, the one with fewer calls in flight comes
+        first (power of two choices). Schedulers in backoff come last.
         """
-        addresses = list(self._by_zone.get(zone, ()))
+        addresses = list(self._addresses_by_zone.get(zone, ()))
         self._random.shuffle(addresses)
-        drawn = sorted(addresses[:2], key=self._asked.__getitem__)
+        two_choices = sorted(addresses[:2], key=self._in_flight.__getitem__)
         now = self._clock()
         return sorted(
-            drawn + addresses[2:],
-            key=lambda address: self._shunned_until.get(address, 0) > now,
+            two_choices + addresses[2:],
+            key=lambda address: self._backoff_until.get(address, 0) > now,
         )
 
-    def begin(self, address: Address) -> None:
-        """Note that a scheduler is being asked."""
-        self._asked[address] += 1
+    def call_started(self, address: Address) -> None:
+        """Record the start of a call to a scheduler."""
+        self._in_flight[address] += 1
 
-    def end(self, address: Address, *, ok: bool) -> None:
-        """Note the outcome of asking a scheduler."""
-        self._asked[address] -= 1
+    def call_ended(self, address: Address, *, ok: bool) -> None:
+        """Record the end of a call; a failed one starts the backoff."""
+        self._in_flight[address] -= 1
         if ok:
-            self._shunned_until.pop(address, None)
+            self._backoff_until.pop(address, None)
         else:
-            self._shunned_until[address] = self._clock() + _SHUN
+            self._backoff_until[address] = self._clock() + _FAILURE_BACKOFF
--- a/orchidrail/gateway/http_api.py
+++ b/orchidrail/gateway/http_api.py
@@ -1,7 +1,7 @@
-"""The callers' interface over HTTP.
+"""HTTP API for callers.
 
-Every reply carries a verdict; refusals are problem details (RFC 9457) with
-``Retry-After`` where coming back makes sense.
+Replies carry a verdict. Refusals are problem details (RFC 9457), with
+``Retry-After`` where a retry is advised.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
 _PROBLEM = b'application/problem+json'
 _VERDICT_HEADER = b'Orchidrail-Verdict'
 _RETRY_HEADER = b'Retry-After'
-_LONGEST_WAIT: Seconds = 30
-#: HTTP status by the reason of a refusal.
+_MAX_WAIT: Seconds = 30
+#: HTTP status by refusal code.
 STATUS_BY_CODE: dict[RefusalCode, int] = {
     RefusalCode.STALE_EPOCH: 503,
     RefusalCode.LEASE_LAPSED: 503,
@@ -65,10 +65,10 @@
     RefusalCode.DEADLINE: 503,
 }
 _BAD_INPUT = 400
-_NO_KEY = 401
+_UNAUTHENTICATED = 401
 _NOT_FOUND = 404
 _TOO_LARGE = 413
-_FAILED = 502
+_TASK_FAILED = 502
 _OK = 200
 _ACCEPTED = 202
 _UNREADY = 503
@@ -77,7 +77,7 @@
 
 
 class _ProblemError(Exception):
-    """A problem to be answered as it is."""
+    """Carries a problem to the exception handler unchanged."""
 
     def __init__(self, problem: Problem) -> None:
         self.problem = problem
@@ -85,10 +85,10 @@
 
 
 class HttpApi:
-    """Binds a gateway to HTTP."""
+    """HTTP application of a gateway."""
 
     def __init__(self, daemon: GatewayDaemon) -> None:
-        """Build the application with its routes."""
+        """Build the application and its routes."""
         self._daemon = daemon
         self.app = Application(router=Router())
         self._add_routes()
@@ -97,13 +97,13 @@
         self.app.exceptions_handlers[BadInputError] = _answer_bad_input
 
     async def post_key(self, request: Request) -> Response:
-        """Issue a key for a request or job that may not be repeated."""
+        """Issue a key for a request or job that must not be repeated."""
         tenant = self._tenant(request)
         body = await self._body(request, KeyBody)
         issued = await self._daemon.issue_key(tenant, body.class_name)
         if isinstance(issued, Ok):
             return _json(_OK, KeyReply(key=issued.ok_value), Verdict.RAN)
-        return _refused(issued.err_value)
+        return _reply_response(issued.err_value)
 
     async def post_request(self, request: Request) -> Response:
         """Run a short request and wait for its answer."""
@@ -111,28 +111,35 @@
         body = await self._body(request, RequestBody)
         reply = await self._daemon.run_request(tenant, body)
         if reply.verdict is not Verdict.RAN:
-            return _refused(reply)
+            return _reply_response(reply)
         answered = ReplyBody(
             verdict=reply.verdict.value,
             answer=reply.answer,
             failed=reply.failed,
         )
-        status = _FAILED if reply.failed else _OK
+        status = _TASK_FAILED if reply.failed else _OK
         return _json(status, answered, reply.verdict)
 
     async def post_job(self, request: Request) -> Response:
-        """Accept a job for good."""
+        """Submit a job; once accepted it is durable."""
         tenant = self._tenant(request)
         body = await self._body(request, JobBody)
-        return _job(await self._daemon.submit_job(tenant, body), _ACCEPTED)
+        return _job_response(
+            await self._daemon.submit_job(tenant, body), _ACCEPTED
+        )
 
     async def get_job(self, request: Request) -> Response:
-        """Return a job's status; with ``wait`` and ``state``, follow it."""
+        """Return a job's status.
+
+        With ``wait`` and ``state``, waits for a state other than ``state``.
+        """
         tenant = self._tenant(request)
         job = _job_id(request)
-        wait = _seconds(request, 'wait')
-        state = _query(request, 'state')
-        return _job(await self._daemon.query_job(tenant, job, wait, state), _OK)
+        wait = _seconds_parameter(request, 'wait')
+        state = _query_parameter(request, 'state')
+        return _job_response(
+            await self._daemon.query_job(tenant, job, wait, state), _OK
+        )
 
     async def delete_job(self, request: Request) -> Response:
         """Cancel a job."""
@@ -140,20 +147,24 @@
         job = _job_id(request)
         answer = await self._daemon.cancel_job(tenant, job)
         if isinstance(answer, Refusal):
-            return _not_found(answer) if _is_unknown(answer) else _busy(answer)
+            return (
+                _not_found(answer)
+                if _is_unknown_job(answer)
+                else _refusal_response(answer)
+            )
         return Response(_ACCEPTED)
 
     async def get_live(self, request: Request) -> Response:
-        """Tell that the process is there."""
+        """Liveness probe."""
         return Response(_OK)
 
     async def get_ready(self, request: Request) -> Response:
-        """Tell whether requests can be served, and whether it is cut off."""
+        """Readiness probe; the text also shows a lost log connection."""
         ready = self._daemon.ready()
-        cut_off = not self._daemon.follower.connected
+        partitioned = not self._daemon.follower.connected
         text = 'not serving'
         if ready:
-            text = 'cut off but serving' if cut_off else 'serving'
+            text = 'cut off but serving' if partitioned else 'serving'
         content = Content(b'text/plain', text.encode())
         return Response(_OK if ready else _UNREADY, content=content)
 
@@ -188,11 +199,13 @@
         if tenant is not None:
             return tenant
         if not self._daemon.ready():
-            raise _ProblemError(_problem(_UNREADY, 'no bundle yet', 1))
+            raise _ProblemError(_problem(_UNREADY, 'no bundle received yet', 1))
         if not text:
-            raise _ProblemError(_problem(_NO_KEY, 'expected a bearer key'))
+            raise _ProblemError(
+                _problem(_UNAUTHENTICATED, 'expected a bearer key')
+            )
         status = STATUS_BY_CODE[RefusalCode.UNAUTHORISED]
-        raise _ProblemError(_problem(status, 'the bearer key is not known'))
+        raise _ProblemError(_problem(status, 'unknown bearer key'))
 
     async def _body(self, request: Request, kind: type[BodyT]) -> BodyT:
         limit = self._daemon.settings.max_body
@@ -213,7 +226,7 @@
     kind: type[msgspec.Struct],
     error: msgspec.MsgspecError,
 ) -> BadInputError:
-    """Name the first offending field with its value."""
+    """Return an error that names the first invalid field and its value."""
     if not isinstance(error, msgspec.ValidationError):
         return BadInputError('body', f'expected JSON: {error}')
     checked = parse(raw.decode(errors='replace'), kind)
@@ -227,7 +240,7 @@
     return Response(status, headers, Content(_JSON, msgspec.json.encode(body)))
 
 
-def _refused(reply: Reply) -> Response:
+def _reply_response(reply: Reply) -> Response:
     code = reply.code or RefusalCode.UNKNOWN
     problem = Problem(
         type=f'urn:orchidrail:{code.value}',
@@ -240,13 +253,13 @@
     return _problem_response(problem)
 
 
-def _job(outcome: Result[JobStatus, Reply], status: int) -> Response:
+def _job_response(outcome: Result[JobStatus, Reply], status: int) -> Response:
     if not isinstance(outcome, Ok):
         reply = outcome.err_value
         unknown = reply.code is RefusalCode.UNKNOWN
         if unknown and reply.verdict is Verdict.NOT_RUN:
             return _problem_response(_problem(_NOT_FOUND, 'no such job'))
-        return _refused(reply)
+        return _reply_response(reply)
     found = outcome.ok_value
     body = JobReply(
         job=found.key,
@@ -287,22 +300,22 @@
 def _problem_response(problem: Problem) -> Response:
     headers = [(_VERDICT_HEADER, problem.verdict.encode())]
     if problem.retry_after:
-        whole = math.ceil(problem.retry_after)
-        headers.append((_RETRY_HEADER, str(whole).encode()))
+        rounded_up = math.ceil(problem.retry_after)
+        headers.append((_RETRY_HEADER, str(rounded_up).encode()))
     content = Content(_PROBLEM, msgspec.json.encode(problem))
     return Response(problem.status, headers, content)
 
 
-def _is_unknown(refusal: Refusal) -> bool:
+def _is_unknown_job(refusal: Refusal) -> bool:
     return refusal.code is RefusalCode.UNKNOWN
 
 
 def _not_found(refusal: Refusal) -> Response:
-    detail = f'no job {refusal.detail!r} of this tenant'
+    detail = f'this tenant has no job {refusal.detail!r}'
     return _problem_response(_problem(_NOT_FOUND, detail))
 
 
-def _busy(refusal: Refusal) -> Response:
+def _refusal_response(refusal: Refusal) -> Response:
     problem = Problem(
         type=f'urn:orchidrail:{refusal.code.value}',
         title=refusal.code.value,
@@ -336,15 +349,15 @@
     return JobId(str(values['job']))
 
 
-def _query(request: Request, name: str) -> str:
+def _query_parameter(request: Request, name: str) -> str:
     found = request.query.get(name)
     return found[0] if found else ''
 
 
-def _seconds(request: Request, name: str) -> Seconds:
-    text = _query(request, name) or '0'
+def _seconds_parameter(request: Request, name: str) -> Seconds:
+    text = _query_parameter(request, name) or '0'
     try:
-        wanted = float(text)
+        requested = float(text)
     except ValueError:
         raise BadInputError(name, f'got {text!r}, expected seconds') from None
-    return min(_LONGEST_WAIT, max(0, wanted))
+    return min(_MAX_WAIT, max(0, requested))
--- a/orchidrail/gateway/main.py
+++ b/orchidrail/gateway/main.py
@@ -1,4 +1,4 @@
-"""``orchidrail-gateway``: runs one gateway until it is told to stop."""
+"""``orchidrail-gateway``: runs one gateway until it is signalled."""
 
 from __future__ import annotations
 
@@ -17,15 +17,18 @@
 from orchidrail.settings import GatewaySettings
 from orchidrail.sockets import listen
 
-_GRACE_SECONDS = 30
+_SHUTDOWN_GRACE_SECONDS = 30
 _log = structlog.get_logger()
 
 
 class _Server(uvicorn.Server):
-    """Leaves signals to the daemon, which has more to end than HTTP."""
+    """HTTP server that leaves signals to `serve`.
+
+    Shutdown must also flush pending reports to the schedulers.
+    """
 
     def install_signal_handlers(self) -> None:
-        """Install none."""
+        """Keep the handlers that `serve` installs."""
 
 
 def run(settings: str) -> None:
@@ -34,28 +37,28 @@
     Parameters
     ----------
     settings : str
-        Path of its settings file, JSON with comments.
+        Path of the settings file, JSON with comments.
     """
     run_program(serve(start_process(settings, GatewaySettings)))
 
 
 async def serve(settings: GatewaySettings) -> None:
-    """Serve until a signal asks to stop; then finish what is in progress."""
+    """Serve until SIGTERM or SIGINT, then drain requests in flight."""
     async with AsyncExitStack() as stack:
         transport = open_transport(settings, stack)
         ports = open_ports(settings, transport, stack)
         daemon = GatewayDaemon(settings, ports)
-        bound = listen(settings.listen)
-        stack.callback(bound.close)
+        listener = listen(settings.listen)
+        stack.callback(listener.close)
         server = _Server(_server_config(settings, daemon))
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, _stop, server)
-        host, port = bound.getsockname()
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, _stop, server)
+        host, port = listener.getsockname()
         _log.info('ready', address=f'{host}:{port}')
-        following = asyncio.create_task(daemon.run())
-        stack.callback(following.cancel)
-        await server.serve(sockets=[bound])
+        daemon_task = asyncio.create_task(daemon.run())
+        stack.callback(daemon_task.cancel)
+        await server.serve(sockets=[listener])
         await daemon.client.flush()
         _log.info('stopped')
 
@@ -69,7 +72,7 @@
         loop='asyncio',
         log_config=None,
         access_log=False,
-        timeout_graceful_shutdown=_GRACE_SECONDS,
+        timeout_graceful_shutdown=_SHUTDOWN_GRACE_SECONDS,
         ssl_certfile=settings.tls_certificate or None,
         ssl_keyfile=settings.tls_key or None,
     )
@@ -81,7 +84,7 @@
 
 
 def main() -> None:
-    """Read the command line."""
+    """Run the command line interface."""
     fire.Fire(run)
 
 
--- a/orchidrail/gateway/request_runner.py
+++ b/orchidrail/gateway/request_runner.py
@@ -1,4 +1,4 @@
-"""Runs one short request: grant, start, answer, and the honest verdict."""
+"""Execution of one short request: grant, start, answer and verdict."""
 
 from __future__ import annotations
 
@@ -56,34 +56,37 @@
     from orchidrail.gateway.scheduler_client import SchedulerClient
     from orchidrail.metrics import GatewayMetrics
 
-_SETTLE_TIMEOUT: Seconds = 1
-#: A scheduler answers this much later than the patience at the latest.
+_SETTLE_CALL_TIMEOUT: Seconds = 1
+#: A scheduler answers within the patience plus this margin.
 _GRANT_MARGIN: Seconds = 0.5
-_REJOIN_PAUSE: Seconds = 0.1
+_SETTLE_RETRY_PAUSE: Seconds = 0.1
 _RETRY_PAUSE: Seconds = 0.02
-#: When to come back: nobody could be asked, or the worker refused.
-_UNREACHABLE_RETRY: Seconds = 1
-_REFUSED_RETRY: Seconds = 0.3
-#: Between two tries while a lease changes hands.
+#: Mean ``Retry-After``: no scheduler reachable, or the worker refused.
+_UNREACHABLE_RETRY_AFTER: Seconds = 1
+_REFUSED_RETRY_AFTER: Seconds = 0.3
+#: Mean pause between attempts while a lease moves to a new holder.
 _HOLDER_PAUSE: Seconds = 0.1
-#: Patience at a scheduler that isn't the last one to be asked.
-_FIRST_PATIENCE: Seconds = 0.1
-#: Refusals that end when leases have changed hands.
-_PASSING = frozenset((RefusalCode.NOT_HOLDER, RefusalCode.UNREACHABLE))
-#: Refusals after which the next scheduler is asked.
-_GOING_ON = _PASSING | {RefusalCode.OVERLOADED, RefusalCode.DEADLINE}
+#: Maximum wait at every scheduler but the last.
+_SHORT_WAIT: Seconds = 0.1
+#: Refusals that end once leases have moved to new holders.
+_TRANSIENT_CODES = frozenset((RefusalCode.NOT_HOLDER, RefusalCode.UNREACHABLE))
+#: Refusals after which the next scheduler is called.
+_FAILOVER_CODES = _TRANSIENT_CODES | {
+    RefusalCode.OVERLOADED,
+    RefusalCode.DEADLINE,
+}
 _log = structlog.get_logger()
 
 
 class RequestCall(msgspec.Struct, frozen=True):
-    """A request as the gateway has checked it.
+    """A validated request.
 
     Parameters
     ----------
     deadline : float
-        Monotonic time by which the caller wants its answer.
-    patience : float
-        Seconds that it may wait for a place.
+        Monotonic time by which the caller expects an answer.
+    max_wait : float
+        Maximum seconds to wait for a grant.
     """
 
     tenant: TenantId
@@ -91,16 +94,16 @@
     work_class: WorkClass
     payload: str
     deadline: Seconds
-    patience: Seconds
+    max_wait: Seconds
     key: ParsedKey | None = None
 
 
-class _Ended(msgspec.Struct, frozen=True):
-    """How one attempt ended."""
+class _AttemptOutcome(msgspec.Struct, frozen=True):
+    """Outcome of one attempt, and whether it may be retried."""
 
     reply: Reply
     worker: WorkerId = WorkerId('')
-    again: bool = False
+    retry: bool = False
 
 
 class RequestRunner:
@@ -133,7 +136,7 @@
     async def run(self, call: RequestCall) -> Reply:
         """Run a request and return its final answer."""
         if call.key is not None:
-            return await self._run_once(call, call.key)
+            return await self._run_keyed(call, call.key)
         return await self._run_repeatable(call)
 
     async def refuse(
@@ -143,88 +146,97 @@
         detail: str,
         retry_after: Seconds,
     ) -> Reply:
-        """Refuse a key for good, unless it was claimed before."""
+        """Refuse a key permanently, unless it was claimed before."""
         refusal = Refusal(code=code, detail=detail, retry_after=retry_after)
         return await self._resolve(
-            key, refusal, self._clock() + _SETTLE_TIMEOUT
+            key, refusal, self._clock() + _SETTLE_CALL_TIMEOUT
         )
 
     async def _run_repeatable(self, call: RequestCall) -> Reply:
         avoid: list[WorkerId] = []
-        touched = False
+        may_have_run = False
         while True:
-            ended = await self._attempt(call, avoid)
-            if not ended.again:
-                if ended.reply.verdict is Verdict.RAN:
+            attempt = await self._attempt(call, avoid)
+            if not attempt.retry:
+                if attempt.reply.verdict is Verdict.RAN:
                     self._budget.earn()
-                return _after(ended.reply, touched=touched)
+                return _with_earlier_attempts(
+                    attempt.reply, may_have_run=may_have_run
+                )
             pause = jitter(self._random, _RETRY_PAUSE)
-            late = self._clock() + pause >= call.deadline
-            if late or not self._budget.spend():
-                return _after(ended.reply, touched=touched)
-            touched = touched or ended.reply.verdict is not Verdict.NOT_RUN
-            avoid.append(ended.worker)
+            out_of_time = self._clock() + pause >= call.deadline
+            if out_of_time or not self._budget.spend():
+                return _with_earlier_attempts(
+                    attempt.reply, may_have_run=may_have_run
+                )
+            may_have_run = (
+                may_have_run or attempt.reply.verdict is not Verdict.NOT_RUN
+            )
+            avoid.append(attempt.worker)
             await asyncio.sleep(pause)
 
     async def _attempt(
         self,
         call: RequestCall,
         avoid: list[WorkerId],
-    ) -> _Ended:
-        holder, answer = await self._find_place(call, avoid)
+    ) -> _AttemptOutcome:
+        holder, answer = await self._request_grant(call, avoid)
         if not isinstance(answer, Grant):
-            return _Ended(_reply_of(answer, FailurePoint.NO_GRANT))
-        return await self._use_grant(call, holder, answer)
+            return _AttemptOutcome(
+                _reply_from_refusal(answer, FailurePoint.NO_GRANT)
+            )
+        return await self._run_with_grant(call, holder, answer)
 
-    async def _find_place(
+    async def _request_grant(
         self,
         call: RequestCall,
         avoid: list[WorkerId],
     ) -> tuple[Address, Message]:
-        """Ask the schedulers in turn, again while leases change hands.
+        """Request a grant; retry while leases move to new holders.
 
-        All but the last are asked for a place that is free at once or soon,
-        so that work doesn't queue at one while another has room.
+        Every scheduler but the last gets a short maximum wait, so that work
+        doesn't queue at one while another has free capacity.
         """
-        give_up = self._clock() + self._patience(call)
+        wait_until = self._clock() + self._wait_budget(call)
         while True:
-            holder, answer = await self._ask_in_turn(call, avoid)
+            holder, answer = await self._try_schedulers(call, avoid)
             if (
-                not _is_passing(answer)
-                or self._clock() + _HOLDER_PAUSE >= give_up
+                not _is_transient(answer)
+                or self._clock() + _HOLDER_PAUSE >= wait_until
             ):
                 return holder, answer
             await self._pause_for_holder()
 
-    async def _ask_in_turn(
+    async def _try_schedulers(
         self,
         call: RequestCall,
         avoid: list[WorkerId],
     ) -> tuple[Address, Message]:
         order = self._client.order(self._zone)
-        busy = Address('')
+        overloaded = Address('')
         answer: Message = self._unreachable()
         for address in order:
             last = address == order[-1]
-            request = self._grant_request(call, avoid, first_tries=not last)
-            answer = await self._ask_one(address, request)
-            if not _goes_on(answer):
+            request = self._grant_request(call, avoid, short_wait=not last)
+            answer = await self._call_scheduler(address, request)
+            if not _allows_failover(answer):
                 return address, answer
-            if not _is_passing(answer):
-                busy = address
-        if busy and _is_passing(answer):
-            # The last could take nothing; this one lets work wait.
+            if not _is_transient(answer):
+                overloaded = address
+        if overloaded and _is_transient(answer):
+            # The last scheduler holds no suitable lease or is unreachable,
+            # so the request queues at one that is merely overloaded.
             request = self._grant_request(call, avoid)
-            return busy, await self._ask_one(busy, request)
+            return overloaded, await self._call_scheduler(overloaded, request)
         return Address(''), answer
 
-    async def _ask_one(
+    async def _call_scheduler(
         self,
         address: Address,
         request: GrantRequest,
     ) -> Message:
-        """Ask one scheduler; one that fails counts as passing on."""
-        answer = await self._client.ask(
+        """Call one scheduler; a failed call counts as a transient refusal."""
+        answer = await self._client.call_scheduler(
             address,
             request,
             request.patience + _GRANT_MARGIN,
@@ -236,25 +248,27 @@
     def _unreachable(self) -> Refusal:
         return Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail=f'no scheduler of zone {self._zone!r} can be reached',
-            retry_after=jitter(self._random, _UNREACHABLE_RETRY),
+            detail=f'no scheduler of zone {self._zone!r} is reachable',
+            retry_after=jitter(self._random, _UNREACHABLE_RETRY_AFTER),
         )
 
     async def _pause_for_holder(self) -> None:
         await asyncio.sleep(jitter(self._random, _HOLDER_PAUSE))
 
-    async def _use_grant(
+    async def _run_with_grant(
         self,
         call: RequestCall,
         holder: Address,
         grant: Grant,
-    ) -> _Ended:
+    ) -> _AttemptOutcome:
         report = await self._start(call, holder, grant)
         if isinstance(report, FailurePoint):
-            return _Ended(_failed_at(report), grant.worker, again=True)
-        reply = _reply_to(report)
-        again = report.state is not TaskState.FINISHED
-        return _Ended(reply, grant.worker, again=again)
+            return _AttemptOutcome(
+                _reply_at_failure(report), grant.worker, retry=True
+            )
+        reply = _reply_from_report(report)
+        retry = report.state is not TaskState.FINISHED
+        return _AttemptOutcome(reply, grant.worker, retry=retry)
 
     async def _start(
         self,
@@ -262,11 +276,11 @@
         holder: Address,
         grant: Grant,
     ) -> TaskReport | FailurePoint:
-        """Start the task at its worker and wait for the end."""
-        started = self._clock()
-        arrived = call.deadline - call.work_class.timeout
+        """Start the task at its worker and wait for it to end."""
+        started_at = self._clock()
+        arrived_at = call.deadline - call.work_class.timeout
         self._metrics.observe_wait(
-            call.tenant, call.class_name, started - arrived
+            call.tenant, call.class_name, started_at - arrived_at
         )
         message = StartTask(
             task=_spec_of(call, grant),
@@ -274,13 +288,15 @@
             sequence=grant.sequence,
             wait=True,
         )
-        left = max(0, call.deadline - started)
-        answer = await self._client.transport.call(grant.address, message, left)
+        remaining = max(0, call.deadline - started_at)
+        answer = await self._client.transport.call(
+            grant.address, message, remaining
+        )
         outcome = self._check(answer.ok(), answer.err(), grant.task)
-        self._tell(holder, grant.task, outcome)
+        self._report_outcome(holder, grant.task, outcome)
         if isinstance(outcome, TaskReport):
-            spent = self._clock() - started
-            self._metrics.observe_run(call.tenant, call.class_name, spent)
+            run_seconds = self._clock() - started_at
+            self._metrics.observe_run(call.tenant, call.class_name, run_seconds)
         return outcome
 
     def _check(
@@ -303,66 +319,66 @@
             return answer  # type: ignore[return-value]
         return FailurePoint.ANSWER_LOST
 
-    def _tell(
+    def _report_outcome(
         self,
         holder: Address,
         task: TaskId,
         outcome: TaskReport | FailurePoint,
     ) -> None:
-        """Let the holder give the room back, if that is proved."""
+        """Let the holder release capacity once the task provably ended."""
         if not holder:
             return
         if isinstance(outcome, TaskReport):
-            self._client.tell_ended(holder, outcome)
+            self._client.report_ended(holder, outcome)
         elif VERDICT_BY_POINT[outcome] is Verdict.NOT_RUN:
             unused = TaskReport(key=task, state=TaskState.NEVER_STARTED)
-            self._client.tell_ended(holder, unused)
+            self._client.report_ended(holder, unused)
 
-    async def _run_once(self, call: RequestCall, key: ParsedKey) -> Reply:
-        holder, answer = await self._ask_holder(call, key)
+    async def _run_keyed(self, call: RequestCall, key: ParsedKey) -> Reply:
+        holder, answer = await self._call_witness_holder(call, key)
         granted = answer.ok()
         if isinstance(granted, Grant):
             return await self._run_granted(call, key, holder, granted)
         if isinstance(granted, Refusal):
-            return _reply_of(granted, FailurePoint.NO_GRANT)
+            return _reply_from_refusal(granted, FailurePoint.NO_GRANT)
         refusal = Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail='no scheduler holds the witness of the key',
-            retry_after=jitter(self._random, _UNREACHABLE_RETRY),
+            detail='no scheduler holds the lease of the witness of the key',
+            retry_after=jitter(self._random, _UNREACHABLE_RETRY_AFTER),
         )
         return await self._resolve(key, refusal, call.deadline)
 
-    async def _ask_holder(
+    async def _call_witness_holder(
         self,
         call: RequestCall,
         key: ParsedKey,
     ) -> tuple[Address, Result[Message, CallFailure]]:
-        """Ask the witness's holder, again while the lease changes hands."""
-        give_up = self._clock() + self._patience(call)
+        """Call the witness's holder; retry while its lease moves."""
+        wait_until = self._clock() + self._wait_budget(call)
         while True:
-            holder, answer = await self._client.ask_holder(
+            holder, answer = await self._client.call_holder(
                 key.zone,
                 key.witness,
                 self._grant_request(call, []),
-                self._patience(call) + _GRANT_MARGIN,
+                self._wait_budget(call) + _GRANT_MARGIN,
             )
             refusal = answer.ok()
-            passing = refusal is not None and _is_passing(refusal)
+            transient = refusal is not None and _is_transient(refusal)
             if await self._is_unlisted(key):
                 return holder, answer
-            # A grant starts nothing, so asking again is safe.
+            # A grant starts no task, so repeating the request is safe.
             failed = isinstance(answer, Err)
-            late = self._clock() + _HOLDER_PAUSE >= give_up
-            if late or not (passing or failed):
+            out_of_time = self._clock() + _HOLDER_PAUSE >= wait_until
+            if out_of_time or not (transient or failed):
                 return holder, answer
             await self._pause_for_holder()
 
     async def _is_unlisted(self, key: ParsedKey) -> bool:
-        """Tell whether the witness has left: waiting for it is of no use."""
+        """Return whether the witness left, so that waiting for it is futile."""
         holder = await self._client.find_holder(
             key.zone,
             key.witness,
-            fresh=False,
+            refresh=False,
         )
         return holder is not None and not holder.worker_address
 
@@ -375,12 +391,12 @@
     ) -> Reply:
         report = await self._start(call, holder, grant)
         if isinstance(report, TaskReport):
-            return _reply_to(report)
+            return _reply_from_report(report)
         note = ClaimNote(grant.worker, grant.boot, grant.address, grant.task)
         refusal = Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail=f'{grant.worker!r}: {report.value}',
-            retry_after=jitter(self._random, _REFUSED_RETRY),
+            detail=f'start at worker {grant.worker!r} failed: {report.value}',
+            retry_after=jitter(self._random, _REFUSED_RETRY_AFTER),
         )
         return await self._settle_task(note, refusal, call.deadline)
 
@@ -390,30 +406,30 @@
         refusal: Refusal,
         deadline: Seconds,
     ) -> Reply:
-        """Find out from its witness what became of a key.
+        """Query the witness for the outcome of a key.
 
-        A key that was never claimed never will be.
+        The query settles an unclaimed key: it can never be claimed later.
         """
         holder = await self._client.find_holder(
             key.zone,
             key.witness,
-            fresh=False,
+            refresh=False,
         )
         if holder is None or not holder.worker_address:
-            return _unknowable('the witness of the key can not be reached')
+            return _unknowable('the witness of the key is unreachable')
         note = ClaimNote(
             key.witness,
             key.boot,
             holder.worker_address,
             key.claim,
         )
-        claim = await self._ask_worker(note)
+        claim = await self._query_task(note)
         if claim is None:
-            return _unknowable('the witness of the key can not be reached')
+            return _unknowable('the witness of the key is unreachable')
         if claim.state is TaskState.NEVER_STARTED:
-            return _reply_of(refusal, FailurePoint.NO_GRANT)
-        where = ClaimNote.parse(claim.note)
-        return await self._settle_task(where, refusal, deadline)
+            return _reply_from_refusal(refusal, FailurePoint.NO_GRANT)
+        claimed = ClaimNote.parse(claim.note)
+        return await self._settle_task(claimed, refusal, deadline)
 
     async def _settle_task(
         self,
@@ -421,24 +437,26 @@
         refusal: Refusal,
         deadline: Seconds,
     ) -> Reply:
-        """Find out from its worker what became of a claimed task."""
+        """Query the worker for the outcome of a task, until `deadline`."""
         while self._clock() < deadline:
-            report = await self._ask_worker(note)
+            report = await self._query_task(note)
             if report is None:
-                await asyncio.sleep(_REJOIN_PAUSE)
+                await asyncio.sleep(_SETTLE_RETRY_PAUSE)
             elif report.state is TaskState.RUNNING:
-                await self._join(note, deadline)
+                await self._wait_for_end(note, deadline)
             elif report.state is TaskState.NEVER_STARTED:
-                return _reply_of(refusal, FailurePoint.NO_GRANT)
+                return _reply_from_refusal(refusal, FailurePoint.NO_GRANT)
             else:
-                return _reply_to(report)
-        return _unknowable(f'{note.worker!r} has not answered in time')
+                return _reply_from_report(report)
+        return _unknowable(
+            f'worker {note.worker!r} did not answer before the deadline'
+        )
 
-    async def _ask_worker(self, note: ClaimNote) -> TaskReport | None:
+    async def _query_task(self, note: ClaimNote) -> TaskReport | None:
         answer = await self._client.transport.call(
             note.address,
             SettleTasks(keys=[note.task], boot=note.boot),
-            _SETTLE_TIMEOUT,
+            _SETTLE_CALL_TIMEOUT,
         )
         if not isinstance(answer, Ok):
             return None
@@ -447,40 +465,40 @@
             return None
         return message.tasks[0]
 
-    async def _join(self, note: ClaimNote, deadline: Seconds) -> None:
-        """Wait for the end of a task that runs already."""
+    async def _wait_for_end(self, note: ClaimNote, deadline: Seconds) -> None:
+        """Wait for a running task to end; repeats its start message."""
         spec = TaskSpec(
             key=note.task,
             tenant=TenantId(''),
             class_name=ClassName(''),
         )
         message = StartTask(task=spec, epoch=Epoch(0), sequence=0, wait=True)
-        left = max(0, deadline - self._clock())
-        await self._client.transport.call(note.address, message, left)
+        remaining = max(0, deadline - self._clock())
+        await self._client.transport.call(note.address, message, remaining)
 
     def _grant_request(
         self,
         call: RequestCall,
         avoid: list[WorkerId],
         *,
-        first_tries: bool = False,
+        short_wait: bool = False,
     ) -> GrantRequest:
         key = RequestKey('') if call.key is None else call.key.text
-        patience = self._patience(call)
-        if first_tries:
-            patience = min(patience, _FIRST_PATIENCE)
+        max_wait = self._wait_budget(call)
+        if short_wait:
+            max_wait = min(max_wait, _SHORT_WAIT)
         return GrantRequest(
             tenant=call.tenant,
             class_name=call.class_name,
             size=call.work_class.size,
-            patience=patience,
+            patience=max_wait,
             key=key,
             avoid=avoid,
         )
 
-    def _patience(self, call: RequestCall) -> Seconds:
-        left = call.deadline - self._clock()
-        return max(0, min(call.patience, left))
+    def _wait_budget(self, call: RequestCall) -> Seconds:
+        remaining = call.deadline - self._clock()
+        return max(0, min(call.max_wait, remaining))
 
 
 def _spec_of(call: RequestCall, grant: Grant) -> TaskSpec:
@@ -494,7 +512,7 @@
     )
 
 
-def _reply_to(report: TaskReport) -> Reply:
+def _reply_from_report(report: TaskReport) -> Reply:
     verdict = VERDICT_BY_STATE[report.state]
     failed = report.state is not TaskState.FINISHED
     return Reply(
@@ -505,9 +523,9 @@
     )
 
 
-def _reply_of(answer: Message, point: FailurePoint) -> Reply:
+def _reply_from_refusal(answer: Message, point: FailurePoint) -> Reply:
     if not isinstance(answer, Refusal):
-        return _failed_at(point)
+        return _reply_at_failure(point)
     return Reply(
         verdict=answer.verdict,
         code=answer.code,
@@ -516,22 +534,22 @@
     )
 
 
-def _goes_on(answer: Message) -> bool:
-    return isinstance(answer, Refusal) and answer.code in _GOING_ON
+def _allows_failover(answer: Message) -> bool:
+    return isinstance(answer, Refusal) and answer.code in _FAILOVER_CODES
 
 
-def _is_passing(answer: Message) -> bool:
-    return isinstance(answer, Refusal) and answer.code in _PASSING
+def _is_transient(answer: Message) -> bool:
+    return isinstance(answer, Refusal) and answer.code in _TRANSIENT_CODES
 
 
-def _after(reply: Reply, *, touched: bool) -> Reply:
-    """Return the reply to a request whose earlier attempts may have run."""
-    if touched and reply.verdict is Verdict.NOT_RUN:
+def _with_earlier_attempts(reply: Reply, *, may_have_run: bool) -> Reply:
+    """Return the reply, adjusted for earlier attempts that may have run."""
+    if may_have_run and reply.verdict is Verdict.NOT_RUN:
         return msgspec.structs.replace(reply, verdict=Verdict.MAY_HAVE_RUN)
     return reply
 
 
-def _failed_at(point: FailurePoint) -> Reply:
+def _reply_at_failure(point: FailurePoint) -> Reply:
     return Reply(
         verdict=VERDICT_BY_POINT[point],
         code=RefusalCode.UNREACHABLE,
--- a/orchidrail/gateway/scheduler_client.py
+++ b/orchidrail/gateway/scheduler_client.py
@@ -1,4 +1,4 @@
-"""A gateway's calls to schedulers and workers."""
+"""Calls of a gateway to schedulers."""
 
 from __future__ import annotations
 
@@ -29,63 +29,64 @@
     from orchidrail.gateway.directory import SchedulerDirectory
     from orchidrail.wire.transport import Transport
 
-_TIMEOUT: Seconds = 1
-#: Ends of requests are gathered this long into one message.
-_GATHER: Seconds = 0.003
+_CALL_TIMEOUT: Seconds = 1
+#: How long reports of ended requests are collected into one message.
+_REPORT_BATCH_DELAY: Seconds = 0.003
 
 
 class SchedulerClient:
-    """Asks schedulers, going on to the next where that is safe."""
+    """Calls schedulers, and fails over where a retry is safe."""
 
     def __init__(
         self,
         transport: Transport,
         directory: SchedulerDirectory,
     ) -> None:
-        """Start with nothing to tell."""
+        """Start without cached holders or pending reports."""
         self.transport = transport
         self._directory = directory
         self._holder_by_worker: dict[WorkerId, WorkerHolder] = {}
         self._ended_by_holder: dict[Address, list[TaskReport]] = defaultdict(
             list
         )
-        self._telling: set[asyncio.Task[None]] = set()
+        self._report_tasks: set[asyncio.Task[None]] = set()
 
     def order(self, zone: ZoneId) -> list[Address]:
-        """Return a zone's schedulers in the order to ask them."""
+        """Return a zone's schedulers in the order to call them."""
         return self._directory.order(zone)
 
-    async def ask_any(
+    async def call_any(
         self,
         zone: ZoneId,
         message: Message,
         timeout: Seconds,
     ) -> tuple[Address, Message]:
-        """Ask one scheduler of a zone after another until one takes it.
+        """Call the schedulers of a zone in order until one handles a message.
 
-        Only for messages that start nothing.
+        Only for messages that start no work, since a call whose answer is
+        lost is repeated at the next scheduler.
         """
         refusal = Refusal(code=RefusalCode.UNREACHABLE, retry_after=1)
         for address in self._directory.order(zone):
-            answer = await self.ask(address, message, timeout)
+            answer = await self.call_scheduler(address, message, timeout)
             if not isinstance(answer, Ok):
                 continue
-            refusal_or_answer = answer.ok_value
-            if not is_not_holder(refusal_or_answer):
-                return address, refusal_or_answer
-            refusal = refusal_or_answer  # type: ignore[assignment]
+            message_or_refusal = answer.ok_value
+            if not is_not_holder(message_or_refusal):
+                return address, message_or_refusal
+            refusal = message_or_refusal  # type: ignore[assignment]
         return Address(''), refusal
 
-    async def ask(
+    async def call_scheduler(
         self,
         address: Address,
         message: Message,
         timeout: Seconds,
     ) -> Result[Message, CallFailure]:
-        """Ask one scheduler."""
-        self._directory.begin(address)
+        """Call one scheduler and record the outcome in the directory."""
+        self._directory.call_started(address)
         answer = await self.transport.call(address, message, timeout)
-        self._directory.end(address, ok=isinstance(answer, Ok))
+        self._directory.call_ended(address, ok=isinstance(answer, Ok))
         return answer
 
     async def find_holder(
@@ -93,59 +94,68 @@
         zone: ZoneId,
         worker: WorkerId,
         *,
-        fresh: bool,
+        refresh: bool,
     ) -> WorkerHolder | None:
-        """Return who is thought to hold a worker of a zone."""
-        known = self._holder_by_worker.get(worker)
-        if known is not None and not fresh:
-            return known
-        question = QueryHolder(worker=worker)
-        _, answer = await self.ask_any(zone, question, _TIMEOUT)
+        """Return the last known holder of a worker's lease.
+
+        A failed query with `refresh` returns the cached holder.
+        """
+        cached = self._holder_by_worker.get(worker)
+        if cached is not None and not refresh:
+            return cached
+        query = QueryHolder(worker=worker)
+        _, answer = await self.call_any(zone, query, _CALL_TIMEOUT)
         if not isinstance(answer, WorkerHolder):
-            return known
+            return cached
         self._holder_by_worker[worker] = answer
         return answer
 
-    async def ask_holder(
+    async def call_holder(
         self,
         zone: ZoneId,
         worker: WorkerId,
         message: Message,
         timeout: Seconds,
     ) -> tuple[Address, Result[Message, CallFailure]]:
-        """Ask the holder of a worker; look again once if it isn't."""
-        for fresh in (False, True):
-            holder = await self.find_holder(zone, worker, fresh=fresh)
+        """Call the holder of a worker's lease.
+
+        If it no longer holds the lease or the message could not be sent,
+        looks the holder up anew and retries once.
+        """
+        for refresh in (False, True):
+            holder = await self.find_holder(zone, worker, refresh=refresh)
             if holder is None or not holder.address:
                 continue
-            answer = await self.ask(holder.address, message, timeout)
-            refused = isinstance(answer, Ok) and is_not_holder(answer.ok_value)
-            unsent = answer == Err(CallFailure.NOT_SENT)
-            if not refused and not unsent:
+            answer = await self.call_scheduler(holder.address, message, timeout)
+            not_holder = isinstance(answer, Ok) and is_not_holder(
+                answer.ok_value
+            )
+            not_sent = answer == Err(CallFailure.NOT_SENT)
+            if not not_holder and not not_sent:
                 return holder.address, answer
         return Address(''), Err(CallFailure.NOT_SENT)
 
-    def tell_ended(self, holder: Address, report: TaskReport) -> None:
-        """Tell a holder soon that a request has ended."""
-        waiting = self._ended_by_holder[holder]
-        waiting.append(report)
-        if len(waiting) == 1:
-            telling = asyncio.create_task(self._tell(holder))
-            self._telling.add(telling)
-            telling.add_done_callback(self._telling.discard)
+    def report_ended(self, holder: Address, report: TaskReport) -> None:
+        """Queue a report of an ended request for its holder."""
+        pending = self._ended_by_holder[holder]
+        pending.append(report)
+        if len(pending) == 1:
+            report_task = asyncio.create_task(self._send_reports(holder))
+            self._report_tasks.add(report_task)
+            report_task.add_done_callback(self._report_tasks.discard)
 
     async def flush(self) -> None:
-        """Wait until everything has been told."""
-        await asyncio.gather(*self._telling)
+        """Wait until all pending reports are sent."""
+        await asyncio.gather(*self._report_tasks)
 
-    async def _tell(self, holder: Address) -> None:
-        await asyncio.sleep(_GATHER)
+    async def _send_reports(self, holder: Address) -> None:
+        await asyncio.sleep(_REPORT_BATCH_DELAY)
         reports = self._ended_by_holder.pop(holder)
         message = TasksEnded(tasks=reports)
-        # If it is lost, the holder asks the worker when the grant expires.
-        await self.transport.call(holder, message, _TIMEOUT)
+        # If it is lost, the holder queries the worker on grant expiry.
+        await self.transport.call(holder, message, _CALL_TIMEOUT)
 
 
 def is_not_holder(answer: Message) -> bool:
-    """Tell whether a scheduler refused since another one should be asked."""
+    """Return whether a scheduler refused because it is not the holder."""
     return isinstance(answer, Refusal) and answer.code is RefusalCode.NOT_HOLDER
--- a/orchidrail/gateway/tests/test_http_api.py
+++ b/orchidrail/gateway/tests/test_http_api.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface: bad input, keys, verdicts, pages."""
+"""Tests of the HTTP API: invalid input, keys, verdicts, endpoints."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         headers: dict[str, str] | None = None,
         raw: bytes | None = None,
     ) -> httpx.Response:
-        """Send one request to a gateway of its own."""
+        """Send one request to a new gateway."""
         return self.run_async(
             self._send(method, path, body, headers or _HEADERS, raw),
         )
@@ -170,7 +170,7 @@
         self.assertEqual(403, unknown.status_code)
         self.assertEqual([], self.transport.calls)
 
-    def test_a_refusal_tells_when_to_come_back(self) -> None:
+    def test_a_refusal_has_a_retry_after_header(self) -> None:
         self.scripted = Refusal(
             code=RefusalCode.NEVER_FITS,
             detail='too large',
@@ -185,17 +185,17 @@
             answer.headers['Content-Type'],
         )
 
-    def test_no_scheduler_is_a_refusal_as_not_run(self) -> None:
+    def test_unreachable_schedulers_yield_not_run(self) -> None:
         answer = self.send('POST', '/v1/requests', {'class': 'preview'})
         self.assertEqual(503, answer.status_code)
         self.assertEqual('notRun', answer.headers['Orchidrail-Verdict'])
 
-    def test_pages_for_operators(self) -> None:
+    def test_operator_endpoints(self) -> None:
         for path in ('/health/live', '/health/ready', '/metrics', '/docs/'):
             self.assertEqual(200, self.send('GET', path).status_code, path)
 
-    def test_a_flood_is_limited(self) -> None:
+    def test_requests_over_the_rate_are_rejected(self) -> None:
         access = Access()
         access.use_bundle(_bundle())
-        outcomes = [access.take(TenantId('t'), 0) for _ in range(7)]
+        outcomes = [access.admit(TenantId('t'), 0) for _ in range(7)]
         self.assertEqual(5, sum(outcomes))
--- a/orchidrail/gateway/tests/test_request_runner.py
+++ b/orchidrail/gateway/tests/test_request_runner.py
@@ -1,4 +1,4 @@
-"""Tests of the verdicts that callers get."""
+"""Tests of the verdicts returned to callers."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
 
 _ZONE = ZoneId('hall-1')
 _SCHEDULER, _OTHER = Address('10.0.0.1:1'), Address('10.0.0.3:1')
-#: Patience at which a scheduler lets a request wait for its turn.
-_QUEUES: Seconds = 0.15
+#: Minimum patience at which the scripted scheduler queues a request.
+_MIN_QUEUE_PATIENCE: Seconds = 0.15
 _WORKER = Address('10.0.0.2:1')
 _KEY = ParsedKey(RequestKey('k.hall-1.w-1.b'), 0, _ZONE, WorkerId('w-1'), 'b')
 _GRANT = Grant(
@@ -76,19 +76,19 @@
     return TaskReports(tasks=[_report(state, note)], boot='b')
 
 
-def _one_of_two(
-    asked: list[Address],
+def _answer_of_two_schedulers(
+    called: list[Address],
     other: Message | CallFailure,
 ) -> Responder:
-    """Answer as two schedulers do, of which only one holds workers."""
+    """Script two schedulers, of which only one holds workers."""
 
     def answer(address: Address, message: Message) -> Message | CallFailure:
         if not isinstance(message, GrantRequest):
             return _report(TaskState.FINISHED)
-        asked.append(address)
+        called.append(address)
         if address == _OTHER:
             return other
-        if message.patience < _QUEUES:
+        if message.patience < _MIN_QUEUE_PATIENCE:
             return Refusal(code=RefusalCode.OVERLOADED)
         return _GRANT
 
@@ -101,7 +101,7 @@
         responder: Responder,
         *,
         keyed: bool = False,
-        patience: float = 0.2,
+        max_wait: float = 0.2,
         schedulers: tuple[Address, ...] = (_SCHEDULER,),
         seed: int = 1,
     ) -> Reply:
@@ -125,7 +125,7 @@
             WorkClass(kind=WorkKind.REQUEST, repeatable=not keyed, timeout=2),
             'payload',
             time.monotonic() + 0.5,
-            patience,
+            max_wait,
             _KEY if keyed else None,
         )
         return self.run_async(runner.run(call))
@@ -148,26 +148,26 @@
         self.assertIs(Verdict.NOT_RUN, reply.verdict)
         self.assertEqual(3, reply.retry_after)
 
-    def test_it_waits_at_the_scheduler_that_could_take_it(self) -> None:
-        """The other is away or passes on; this one lets work wait."""
+    def test_request_queues_at_the_only_scheduler_with_capacity(self) -> None:
+        """The other is unreachable or holds no lease; this one queues."""
         others = (
             Refusal(code=RefusalCode.NOT_HOLDER),
             CallFailure.NOT_SENT,
             CallFailure.ANSWER_LOST,
         )
         for other, seed in itertools.product(others, range(8)):
-            asked: list[Address] = []
+            called: list[Address] = []
             reply = self.reply_to(
-                _one_of_two(asked, other),
-                patience=0.4,
+                _answer_of_two_schedulers(called, other),
+                max_wait=0.4,
                 schedulers=(_SCHEDULER, _OTHER),
                 seed=seed,
             )
             self.assertIs(Verdict.RAN, reply.verdict, (other, seed))
-            self.assertLessEqual(asked.count(_OTHER), 1, (other, seed))
+            self.assertLessEqual(called.count(_OTHER), 1, (other, seed))
 
     def test_verdicts_of_a_keyed_request(self) -> None:
-        """After each failure the worker's own word decides the verdict."""
+        """After each failure the state that the worker reports decides."""
         cases = (
             (_report(TaskState.FINISHED), None, Verdict.RAN),
             (
@@ -217,16 +217,16 @@
             reply = self.reply_to(answer, keyed=True)
             self.assertIs(expected, reply.verdict, (start, settled))
 
-    def test_a_grant_of_another_task_is_settled_by_its_name(self) -> None:
-        """The key was claimed for room that another scheduler gave."""
+    def test_a_grant_of_another_task_is_settled_by_its_task_id(self) -> None:
+        """The key was claimed for a grant by another scheduler."""
         other = TaskId('other')
-        asked: list[TaskId] = []
+        called: list[TaskId] = []
 
         def answer(_: Address, message: Message) -> Message | CallFailure:
             if isinstance(message, GrantRequest):
                 return msgspec.structs.replace(_GRANT, task=other)
             if isinstance(message, SettleTasks):
-                asked.extend(message.keys)
+                called.extend(message.keys)
                 return _settled(TaskState.FINISHED)
             if isinstance(message, StartTask):
                 return CallFailure.ANSWER_LOST
@@ -234,9 +234,9 @@
 
         reply = self.reply_to(answer, keyed=True)
         self.assertIs(Verdict.RAN, reply.verdict)
-        self.assertEqual([other], asked)
+        self.assertEqual([other], called)
 
-    def test_an_unclaimed_key_is_refused_for_good(self) -> None:
+    def test_an_unclaimed_key_is_refused_permanently(self) -> None:
         answers: dict[type[Message], Message] = {
             GrantRequest: Refusal(code=RefusalCode.NOT_HOLDER),
             QueryHolder: _HOLDER,
@@ -249,7 +249,7 @@
         self.assertIs(Verdict.NOT_RUN, reply.verdict)
         self.assertGreater(reply.retry_after, 0)
 
-    def test_a_key_whose_witness_is_away_may_have_run(self) -> None:
+    def test_a_key_with_an_unreachable_witness_may_have_run(self) -> None:
         answers: dict[type[Message], Message | CallFailure] = {
             GrantRequest: CallFailure.NOT_SENT,
             QueryHolder: _HOLDER,
@@ -261,7 +261,7 @@
         )
         self.assertIs(Verdict.MAY_HAVE_RUN, reply.verdict)
 
-    def test_a_crossed_answer_is_not_delivered(self) -> None:
+    def test_an_answer_for_another_task_is_not_delivered(self) -> None:
         other = TaskReport(
             key=TaskId('x'), state=TaskState.FINISHED, answer='?'
         )
--- a/orchidrail/gateway/verdicts.py
+++ b/orchidrail/gateway/verdicts.py
@@ -1,4 +1,4 @@
-"""Which verdict each point of failure has."""
+"""Maps points of failure and task states to verdicts."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class FailurePoint(Enum):
-    """Where an attempt of a request ended without an answer.
+    """Stage at which an attempt ended without an answer.
 
     Examples
     --------
@@ -24,7 +24,7 @@
     <Verdict.MAY_HAVE_RUN: 'mayHaveRun'>
     """
 
-    #: The scheduler refused, or can't be reached: a grant runs nothing.
+    #: The scheduler refused or is unreachable; a grant alone runs nothing.
     NO_GRANT = 'noGrant'
     START_NOT_SENT = 'startNotSent'
     START_REFUSED = 'startRefused'
@@ -34,7 +34,7 @@
     DEADLINE_AFTER_START = 'deadlineAfterStart'
 
 
-#: The one table of verdicts.
+#: Verdict for each stage at which an attempt may fail.
 VERDICT_BY_POINT: dict[FailurePoint, Verdict] = {
     FailurePoint.NO_GRANT: Verdict.NOT_RUN,
     FailurePoint.START_NOT_SENT: Verdict.NOT_RUN,
@@ -50,7 +50,7 @@
     CallFailure.ANSWER_LOST: FailurePoint.ANSWER_LOST,
 }
 
-#: Verdict on a key by what its worker says of the task.
+#: Verdict on a key, by the task state that its worker reports.
 VERDICT_BY_STATE: dict[TaskState, Verdict] = {
     TaskState.FINISHED: Verdict.RAN,
     TaskState.FAILED: Verdict.RAN,
@@ -63,17 +63,17 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """The final answer to a caller's request.
+    """Final reply to a caller's request.
 
     Parameters
     ----------
     verdict : Verdict
     code : RefusalCode or None
-        Why there is no answer.
+        Refusal code, None if the worker reported the task state.
     failed : bool
-        The work ran and reported failure.
+        True if the worker reported a state other than finished.
     retry_after : float
-        Seconds after which to come back, if that makes sense.
+        Seconds after which to retry; 0 if a retry is not advised.
     """
 
     verdict: Verdict
