--- a/orchidrail/deciding/__init__.py
+++ b/orchidrail/deciding/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions: which work goes next, where it goes and what is refused.
+"""Scheduling decisions: admission, ordering, placement and preemption.
 
 Nothing here does any I/O; clocks and randomness are arguments.
 """
--- a/orchidrail/deciding/admission.py
+++ b/orchidrail/deciding/admission.py
@@ -1,4 +1,4 @@
-"""Early refusal: by expected wait against the caller's patience."""
+"""Estimates of queue waits, for rejection of work that would time out."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from orchidrail.types import ClassName, Seconds
 
 _SMOOTHING = 0.05
-#: Starts of a backlog that are needed to tell its pace.
+#: Starts within one backlog before its drain rate is used.
 _MIN_STARTS = 10
 _MIN_RETRY_AFTER: Seconds = 0.2
 _MAX_RETRY_AFTER: Seconds = 30
 
 
-class _Pace:
-    """How fast the queue of one class moves in its present backlog."""
+class _DrainRate:
+    """Smoothed interval between starts in the current backlog of a class."""
 
     def __init__(self) -> None:
         self.starts = 0
         self.interval: Seconds = 0
         self._last: Seconds = 0
 
-    def note(self, queued_at: Seconds, now: Seconds) -> None:
-        """Count a start of an item that was queued at `queued_at`."""
+    def record_start(self, queued_at: Seconds, now: Seconds) -> None:
+        """Record the start of an item that was queued at `queued_at`."""
         if queued_at >= self._last:
-            # The queue had run empty: another backlog has begun.
+            # The queue was empty in between: a new backlog starts.
             self.starts = 0
         else:
             interval = now - self._last
@@ -36,18 +36,18 @@
 
 
 class Admission:
-    """Expected waits by class, from the rate at which its work starts.
+    """Expected waits by class, from the drain rate of its queue.
 
     Parameters
     ----------
     random : Random
-        Spreads the times to come back.
+        Random source for the jitter of retry delays.
     """
 
     def __init__(self, random: Random) -> None:
-        """Start with no measurement; everything is admitted."""
+        """Start without measurements: every expected wait is 0."""
         self._random = random
-        self._pace_by_class: dict[ClassName, _Pace] = {}
+        self._drain_rate_by_class: dict[ClassName, _DrainRate] = {}
 
     def note_start(
         self,
@@ -55,21 +55,26 @@
         queued_at: Seconds,
         now: Seconds,
     ) -> None:
-        """Learn from one start out of the queue how fast the queue moves.
+        """Update the drain rate of a class with one start from its queue.
 
-        Only starts of one unbroken backlog show that rate.
+        Only starts within one uninterrupted backlog show that rate.
         """
-        pace = self._pace_by_class.setdefault(class_name, _Pace())
-        pace.note(queued_at, now)
+        drain_rate = self._drain_rate_by_class.setdefault(
+            class_name, _DrainRate()
+        )
+        drain_rate.record_start(queued_at, now)
 
     def expected_wait(self, class_name: ClassName, ahead: int) -> Seconds:
-        """Return the wait behind `ahead` others of the class."""
-        pace = self._pace_by_class.get(class_name)
-        if pace is None or pace.starts < _MIN_STARTS:
+        """Return the expected wait in seconds behind `ahead` queued items.
+
+        It is 0 until the current backlog has had enough starts.
+        """
+        drain_rate = self._drain_rate_by_class.get(class_name)
+        if drain_rate is None or drain_rate.starts < _MIN_STARTS:
             return 0
-        return ahead * pace.interval
+        return ahead * drain_rate.interval
 
     def retry_after(self, expected_wait: Seconds) -> Seconds:
-        """Return when to come back: about the wait, spread by half."""
-        wanted = expected_wait + _MIN_RETRY_AFTER
-        return jitter(self._random, min(_MAX_RETRY_AFTER, wanted))
+        """Return a retry delay: the bounded wait, with jitter of up to 50 %."""
+        delay = expected_wait + _MIN_RETRY_AFTER
+        return jitter(self._random, min(_MAX_RETRY_AFTER, delay))
--- a/orchidrail/deciding/ejection.py
+++ b/orchidrail/deciding/ejection.py
@@ -1,8 +1,8 @@
-"""Keeping work away from workers that fail everything.
+"""Outlier ejection: no work for workers with a high failure score.
 
-A failure counts against a worker only as far as the same kind of work
-succeeds elsewhere, so a bad job doesn't eject good workers. An ejected worker
-comes back on probation. (Cf. circuit breakers in the related paper.)
+A failure counts against a worker only as far as work of the same origin
+otherwise succeeds, so a faulty job doesn't eject healthy workers. When its
+ejection ends, a worker is on probation, as in a half-open circuit breaker.
 """
 
 from __future__ import annotations
@@ -13,36 +13,36 @@
 
 _SMOOTHING = 0.2
 _ORIGIN_SMOOTHING = 0.05
-_EJECT_ABOVE = 0.5
-_FIRST_EJECTION: Seconds = 2
-_LONGEST_EJECTION: Seconds = 60
+_EJECTION_THRESHOLD = 0.5
+_MIN_EJECTION: Seconds = 2
+_MAX_EJECTION: Seconds = 60
 _PROBES_TO_TRUST = 3
 
 
 class Standing(Enum):
-    """How far a worker is trusted."""
+    """Health state of a worker."""
 
     TRUSTED = 'trusted'
     EJECTED = 'ejected'
     PROBATION = 'probation'
 
 
-class _Record:
+class _WorkerHealth:
     def __init__(self) -> None:
-        self.blame: float = 0
+        self.failure_score: float = 0
         self.standing = Standing.TRUSTED
-        self.until: Seconds = 0
+        self.ejected_until: Seconds = 0
         self.ejections = 0
-        self.probes = 0
+        self.successful_probes = 0
 
 
 class Ejector:
-    """Standing of each worker.
+    """Tracks worker failures and ejects outliers.
 
     Parameters
     ----------
     max_share : float
-        Share of the workers, 0 to 1, that may be ejected at one time.
+        Largest share of the workers, 0 to 1, that may be ejected at once.
 
     Examples
     --------
@@ -59,31 +59,31 @@
     """
 
     def __init__(self, max_share: float) -> None:
-        """Start with no worker."""
+        """Start without workers."""
         self.max_share = max_share
-        self._record_by_worker: dict[WorkerId, _Record] = {}
-        self._failing_by_origin: dict[str, float] = {}
+        self._health_by_worker: dict[WorkerId, _WorkerHealth] = {}
+        self._failure_rate_by_origin: dict[str, float] = {}
         self._ejected: set[WorkerId] = set()
 
     def add(self, worker: WorkerId) -> None:
-        """Take a worker in, trusted."""
-        self._record_by_worker.setdefault(worker, _Record())
+        """Register a worker as trusted, unless it is known."""
+        self._health_by_worker.setdefault(worker, _WorkerHealth())
 
     def remove(self, worker: WorkerId) -> None:
-        """Forget a worker."""
-        self._record_by_worker.pop(worker, None)
+        """Remove a worker and its history."""
+        self._health_by_worker.pop(worker, None)
         self._ejected.discard(worker)
 
     def standing(self, worker: WorkerId, now: Seconds) -> Standing:
-        """Return how far a worker is trusted at `now`."""
-        record = self._record_by_worker.get(worker)
-        if record is None:
+        """Return the state of a worker at `now`; trusted if unknown."""
+        health = self._health_by_worker.get(worker)
+        if health is None:
             return Standing.TRUSTED
-        if record.standing is Standing.EJECTED and now >= record.until:
-            record.standing = Standing.PROBATION
-            record.probes = 0
+        if health.standing is Standing.EJECTED and now >= health.ejected_until:
+            health.standing = Standing.PROBATION
+            health.successful_probes = 0
             self._ejected.discard(worker)
-        return record.standing
+        return health.standing
 
     def note(
         self,
@@ -93,70 +93,77 @@
         ok: bool,
         now: Seconds,
     ) -> Standing:
-        """Count one outcome and return the worker's standing.
+        """Record one outcome and return the worker's state.
 
         Parameters
         ----------
         origin : str
-            Names the work that should succeed or fail together.
+            Groups work that is expected to have one failure rate.
         """
-        record = self._record_by_worker.setdefault(worker, _Record())
-        failing = self._failing_by_origin.get(origin, 0)
-        blame = 0 if ok else 1 - failing
+        health = self._health_by_worker.setdefault(worker, _WorkerHealth())
+        failure_rate = self._failure_rate_by_origin.get(origin, 0)
+        penalty = 0 if ok else 1 - failure_rate
         weight = _ORIGIN_SMOOTHING
-        self._failing_by_origin[origin] = failing + weight * (
-            (not ok) - failing
+        self._failure_rate_by_origin[origin] = failure_rate + weight * (
+            (not ok) - failure_rate
         )
-        record.blame += _SMOOTHING * (blame - record.blame)
-        _RULES[self.standing(worker, now)](self, worker, record, ok, now)
-        return record.standing
+        health.failure_score += _SMOOTHING * (penalty - health.failure_score)
+        _UPDATE_BY_STANDING[self.standing(worker, now)](
+            self, worker, health, ok, now
+        )
+        return health.standing
 
-    def _judge_trusted(
+    def _update_trusted(
         self,
         worker: WorkerId,
-        record: _Record,
+        health: _WorkerHealth,
         ok: bool,
         now: Seconds,
     ) -> None:
-        room = self.max_share * len(self._record_by_worker)
-        if record.blame > _EJECT_ABOVE and len(self._ejected) + 1 <= room:
-            self._eject(worker, record, now)
-
-    def _judge_probation(
+        max_ejected = self.max_share * len(self._health_by_worker)
+        if (
+            health.failure_score > _EJECTION_THRESHOLD
+            and len(self._ejected) + 1 <= max_ejected
+        ):
+            self._eject(worker, health, now)
+
+    def _update_probation(
         self,
         worker: WorkerId,
-        record: _Record,
+        health: _WorkerHealth,
         ok: bool,
         now: Seconds,
     ) -> None:
         if not ok:
-            self._eject(worker, record, now)
+            self._eject(worker, health, now)
             return
-        record.probes += 1
-        if record.probes >= _PROBES_TO_TRUST:
-            record.standing = Standing.TRUSTED
-            record.blame = 0
-            record.ejections = 0
+        health.successful_probes += 1
+        if health.successful_probes >= _PROBES_TO_TRUST:
+            health.standing = Standing.TRUSTED
+            health.failure_score = 0
+            health.ejections = 0
 
-    def _judge_ejected(
+    def _update_ejected(
         self,
         worker: WorkerId,
-        record: _Record,
+        health: _WorkerHealth,
         ok: bool,
         now: Seconds,
     ) -> None:
-        """Leave it ejected: work started before is still coming back."""
+        """Do nothing: results of work started earlier still arrive."""
 
-    def _eject(self, worker: WorkerId, record: _Record, now: Seconds) -> None:
-        length = min(_LONGEST_EJECTION, _FIRST_EJECTION * 2**record.ejections)
-        record.ejections += 1
-        record.standing = Standing.EJECTED
-        record.until = now + length
+    def _eject(
+        self, worker: WorkerId, health: _WorkerHealth, now: Seconds
+    ) -> None:
+        duration = min(_MAX_EJECTION, _MIN_EJECTION * 2**health.ejections)
+        health.ejections += 1
+        health.standing = Standing.EJECTED
+        health.ejected_until = now + duration
         self._ejected.add(worker)
 
 
-_RULES = {
-    Standing.TRUSTED: Ejector._judge_trusted,
-    Standing.PROBATION: Ejector._judge_probation,
-    Standing.EJECTED: Ejector._judge_ejected,
+_UPDATE_BY_STANDING = {
+    Standing.TRUSTED: Ejector._update_trusted,
+    Standing.PROBATION: Ejector._update_probation,
+    Standing.EJECTED: Ejector._update_ejected,
 }
--- a/orchidrail/deciding/engine.py
+++ b/orchidrail/deciding/engine.py
@@ -1,6 +1,6 @@
-"""The decisions of one scheduler: admit, place, queue, refuse, preempt.
+"""Decision engine of one scheduler: admission, placement, preemption.
 
-The engine does no I/O. Callers send what it decided, and tell it what ended.
+The engine does no I/O. Callers carry out its decisions and report task ends.
 """
 
 from __future__ import annotations
@@ -34,29 +34,30 @@
 
 _NEVER: Seconds = math.inf
 _NO_WORKERS: frozenset[WorkerId] = frozenset()
-#: Tenants of one class tried before its turn goes to the next class.
-_TENANTS_TRIED = 4
-#: Tasks waiting in all beyond which new ones are refused.
+#: Tenants of one class for which each pass attempts a placement.
+_MAX_TENANTS_TRIED = 4
+#: Length of the whole queue from which new items are rejected.
 _MAX_QUEUED = 200_000
 _BATCH_KINDS = frozenset((WorkKind.BATCH, WorkKind.GANG))
 _NO_QUOTA = Quota()
-#: Waiting after which a task that fits nowhere has places kept for it.
-_EARMARK_AFTER: Seconds = 2
-#: Waiting after which an item goes also to workers that it should avoid.
+#: Wait after which workers are reserved for an item; also the limit of the
+#: expected run time of work that may use them meanwhile.
+_RESERVE_AFTER: Seconds = 2
+#: Wait after which an item may also use workers that it should avoid.
 _AVOID_FOR: Seconds = 5
-#: Share of run times that back-filling counts on.
-_RUN_TIME_SHARE = 0.9
-#: How long room that is being made is kept for its item.
-_PROMISE_LASTS: Seconds = 3
+#: Quantile of the run times that backfilling relies on.
+_RUN_TIME_QUANTILE = 0.9
+#: How long capacity freed by preemption is kept for its item.
+_NOMINATION_TTL: Seconds = 3
 
 
 class WorkItem:
-    """One task or request that wants a place.
+    """One task, gang of tasks or request to be placed.
 
     Parameters
     ----------
     deadline : float
-        Monotonic time at which its caller's patience ends.
+        Monotonic time at which the caller times out, in seconds.
     """
 
     __slots__ = (
@@ -85,7 +86,7 @@
         gang: int = 1,
         origin: str = '',
     ) -> None:
-        """Take the fields as they are."""
+        """Derive `origin` from tenant and class if it is empty."""
         self.key = key
         self.tenant = tenant
         self.class_name = class_name
@@ -93,33 +94,33 @@
         self.queued_at = queued_at
         self.deadline = deadline
         self.avoid = avoid
-        #: How many tasks of `size` must start together.
+        #: Number of tasks of `size` that must start together.
         self.gang = gang
-        #: Set by the queue while it holds the item.
+        #: Whether the item is in the queue; set by the queue.
         self.waiting = False
         self.origin = origin or f'{tenant}/{class_name}'
 
 
 class Placed(NamedTuple):
-    """Room has been taken on one place for each task of the item."""
+    """The item is placed: capacity is allocated for each of its tasks."""
 
     item: WorkItem
     places: tuple[Place, ...]
 
     @property
     def place(self) -> Place:
-        """The place of an item that is a single task."""
+        """Place of a single-task item."""
         return self.places[0]
 
 
 class Queued(NamedTuple):
-    """The item waits."""
+    """The item waits in the queue."""
 
     item: WorkItem
 
 
 class Declined(NamedTuple):
-    """The item is not taken; nothing is kept of it."""
+    """The item is rejected; the engine keeps no state for it."""
 
     item: WorkItem
     code: RefusalCode
@@ -138,36 +139,36 @@
     since: Seconds
 
 
-class _Earmark(msgspec.Struct):
-    """Places kept for an item that has waited long."""
+class _Reservation(msgspec.Struct):
+    """Workers reserved for an item that is overdue."""
 
     item: WorkItem
     workers: frozenset[WorkerId]
 
 
-class _Promise(NamedTuple):
-    """Room that is being made on a worker for an urgent item."""
+class _Nomination(NamedTuple):
+    """Urgent item for which tasks of a worker are being preempted."""
 
     item: WorkItem
-    at: Seconds
+    created_at: Seconds
 
 
 def member_key(item: WorkItem, index: int) -> TaskId:
-    """Return the key of one task of an item."""
+    """Return the key of the task at `index` of an item."""
     return item.key if item.gang == 1 else TaskId(f'{item.key}/{index}')
 
 
 class Engine:
-    """Decides for the workers that one scheduler holds.
+    """Decides for the workers that one scheduler leases.
 
     Parameters
     ----------
     random : Random
-        Source of samples and of spread times to come back.
+        Random source for samples and for the jitter of retry delays.
     """
 
     def __init__(self, random: Random) -> None:
-        """Start with no worker and an empty bundle."""
+        """Start without workers and with an empty bundle."""
         self.shard = Shard(random)
         self.shares = TenantShares()
         self.queue: FairQueue[WorkItem] = FairQueue(self.shares)
@@ -181,16 +182,17 @@
             defaultdict(dict)
         )
         self._stopping: set[TaskId] = set()
-        self._earmark: _Earmark | None = None
+        self._reservation: _Reservation | None = None
         self._zone_shapes: list[Resources] = []
-        self._promise_by_worker: dict[WorkerId, _Promise] = {}
-        #: Cleared before a planned stop: others take the work.
+        self._nomination_by_worker: dict[WorkerId, _Nomination] = {}
+        #: False before a planned stop: work is redirected to other
+        #: schedulers.
         self.accepting = True
         #: Capacity of the largest open worker of each other scheduler.
         self.peer_shapes: list[Resources] = []
 
     def use_bundle(self, bundle: Bundle, zone: ZoneId) -> None:
-        """Decide by `bundle` from now on."""
+        """Apply a new `bundle`."""
         self._bundle = bundle
         self._zone = bundle.zone(zone)
         self.ejector.max_share = bundle.max_ejected
@@ -201,81 +203,91 @@
         }
 
     def work_class(self, name: ClassName) -> WorkClass:
-        """Return a class of the bundle in force."""
+        """Return a class of the current bundle.
+
+        Raises
+        ------
+        KeyError
+            If the bundle lacks it.
+        """
         return self._bundle.classes[name]
 
     def find_class(self, name: ClassName) -> WorkClass | None:
-        """Return a class, or None if the bundle in force lacks it."""
+        """Return a class, or None if the current bundle lacks it."""
         return self._bundle.classes.get(name)
 
     def add_place(self, place: Place) -> None:
-        """Take a worker in."""
+        """Add a worker."""
         self.shard.add(place)
         self.ejector.add(place.worker)
         self.shares.total = self.shard.capacity
 
     def remove_place(self, worker: WorkerId) -> None:
-        """Leave a worker out; its tasks no longer count here."""
+        """Remove a worker and the charges of its tasks."""
         self.shard.remove(worker)
         self.ejector.remove(worker)
         self.shares.total = self.shard.capacity
-        gone = [
+        removed_tasks = [
             task
             for task, running in self._running_by_task.items()
             if running.worker == worker
         ]
-        for task in gone:
+        for task in removed_tasks:
             self._uncharge(task)
 
     def decline_all(self) -> list[Declined]:
-        """Take out all waiting work: no worker is held any more."""
+        """Remove and decline all waiting work when no worker is left."""
         waiting = self.queue.drain()
-        return [self._pass_on(item) for item in waiting]
+        return [self._redirect(item) for item in waiting]
 
     def decline_stuck(self, now: Seconds) -> list[Declined]:
-        """Take out waiting requests that others could take, but none here."""
-        if not any(self._is_stuck(item) for item in self.queue.candidates(now)):
+        """Remove and decline requests that only other schedulers can run."""
+        if not any(
+            self._should_redirect(item) for item in self.queue.candidates(now)
+        ):
             return []
-        stuck = self.queue.remove_where(self._is_stuck)
-        return [self._pass_on(item) for item in stuck]
+        redirected = self.queue.remove_where(self._should_redirect)
+        return [self._redirect(item) for item in redirected]
 
     def check(self, item: WorkItem, now: Seconds) -> Declined | None:
-        """Refuse what can never run or would wait too long."""
-        never = self.check_fit(item)
-        if never is not None:
-            return never
-        if not self.accepting or self._is_stuck(item):
-            return self._pass_on(item)
+        """Return a rejection if the item can't run here in time."""
+        rejection = self.check_fit(item)
+        if rejection is not None:
+            return rejection
+        if not self.accepting or self._should_redirect(item):
+            return self._redirect(item)
         return self._check_wait(item, now)
 
     def check_fit(self, item: WorkItem) -> Declined | None:
-        """Refuse what can never run."""
+        """Return a rejection if the item can never run in the zone."""
         if item.class_name not in self._bundle.classes:
             return self._decline(item, RefusalCode.INVALID, 'unknown class')
         if not self._within_quota(item.tenant, NOTHING, item):
-            detail = f'{item.size!r} is more than the quota of {item.tenant!r}'
+            detail = f'{item.size!r} exceeds the quota of {item.tenant!r}'
             return self._decline(item, RefusalCode.NEVER_FITS, detail)
         if not self.ever_fits(item):
-            detail = f'no worker here can ever hold {item.size!r}'
+            detail = f'no worker here fits {item.size!r} even when empty'
             return self._decline(item, RefusalCode.NEVER_FITS, detail)
         return None
 
     def set_zone_shapes(self, shapes: list[Resources]) -> None:
-        """Learn the capacities of all workers of the zone."""
+        """Set the capacities of all workers of the zone."""
         self._zone_shapes = shapes
 
     def ever_fits(self, item: WorkItem) -> bool:
-        """Tell whether the zone's workers, empty, could hold the item.
+        """Return whether the item fits the zone's workers when empty.
 
         True while no worker is known.
         """
-        wanted = item.size + self._headroom(item)
+        required = item.size + self._headroom(item)
         if not self._zone_shapes:
-            return not len(self.shard) or self.shard.ever_fits(wanted)
-        room = 0
+            return not len(self.shard) or self.shard.ever_fits(required)
+        fit_count = 0
         for shape in self._zone_shapes:
-            room += _times(wanted, shape) if wanted.fits(shape) else 0
-            if room >= item.gang:
+            fit_count += (
+                _fit_count(required, shape) if required.fits(shape) else 0
+            )
+            if fit_count >= item.gang:
                 return True
         return False
 
@@ -292,13 +304,13 @@
         return Queued(item)
 
     def place_now(self, item: WorkItem, now: Seconds) -> Placed | None:
-        """Place the item at once, past the queue, or not at all."""
+        """Place the item now, bypassing the queue, or return None."""
         if item.class_name not in self._bundle.classes:
             return None
         return self._try_place(item, now)
 
     def pump(self, now: Seconds) -> list[Placed]:
-        """Place what can be placed of the waiting work."""
+        """Place waiting items until no candidate fits."""
         placed: list[Placed] = []
         while len(self.queue):
             found = self._place_next(now)
@@ -308,13 +320,13 @@
         return placed
 
     def expired(self, now: Seconds) -> list[WorkItem]:
-        """Take out and return the waiting items whose patience has ended."""
+        """Remove and return the waiting items whose deadline has passed."""
         return self.queue.remove_expired(now)
 
     def cancel(self, item: WorkItem) -> bool:
-        """Take a waiting item out; return False if it doesn't wait."""
-        if self._earmark is not None and self._earmark.item is item:
-            self._earmark = None
+        """Remove a waiting item; return False if it isn't waiting."""
+        if self._reservation is not None and self._reservation.item is item:
+            self._reservation = None
         return self.queue.remove(item)
 
     def reserve(
@@ -324,7 +336,7 @@
         key: TaskId,
         now: Seconds,
     ) -> bool:
-        """Take room for one task on a given place."""
+        """Allocate capacity for one task; return False if it doesn't fit."""
         if not place.ledger.reserve(key, item.size):
             return False
         self._charge(place, item, key, now)
@@ -340,7 +352,7 @@
         ]
 
     def charges(self, task: TaskId) -> bool:
-        """Tell whether a task holds room on some worker."""
+        """Return whether a task is charged to a worker."""
         return task in self._running_by_task
 
     def adopt(
@@ -349,12 +361,12 @@
         item: WorkItem,
         now: Seconds,
     ) -> None:
-        """Charge a task that runs already."""
+        """Allocate capacity for a task that is already running."""
         place.ledger.adopt(item.key, item.size)
         self._charge(place, item, item.key, now)
 
     def give_back(self, worker: WorkerId, task: TaskId, proof: Proof) -> None:
-        """Give the room of a task back."""
+        """Release the capacity of a task."""
         place = self.shard.place_by_worker.get(worker)
         if place is not None:
             place.ledger.release(task, proof)
@@ -369,7 +381,7 @@
         ok: bool,
         now: Seconds,
     ) -> None:
-        """Learn from a task that ran to its end; then give its room back."""
+        """Release a task that has ended, and record its outcome and time."""
         running = self._running_by_task.get(task)
         self.give_back(worker, task, Proof.ENDED)
         if running is None:
@@ -384,14 +396,14 @@
             self._apply_standing(worker, place, now)
 
     def refresh_standing(self, now: Seconds) -> None:
-        """Let ejected workers come back on probation."""
+        """Put workers whose ejection has ended on probation."""
         for worker, place in self.shard.place_by_worker.items():
             self._apply_standing(worker, place, now)
 
     def preempt_for(self, now: Seconds) -> VictimPlan | None:
-        """Return what to stop so that the most urgent waiting item starts.
+        """Return a preemption plan for the most urgent waiting item.
 
-        The tasks in the plan are taken to be stopping from now on.
+        The tasks of the plan count as stopping from now on.
         """
         for item in self.queue.heads(now):
             work_class = self.work_class(item.class_name)
@@ -400,21 +412,24 @@
         return None
 
     def earmark_for(self, now: Seconds) -> None:
-        """Keep places for the item that has waited longest without room.
+        """Reserve workers for the batch item that has waited longest.
 
-        Other work goes there only if it should end before (back-filling).
+        Other batch work uses them only if it is expected to be short
+        (backfilling), or is urgent.
         """
-        if self._earmark is not None and self._earmark.item.waiting:
+        if self._reservation is not None and self._reservation.item.waiting:
             return
-        self._earmark = None
+        self._reservation = None
         waiting = [
             item
             for item in self.queue.candidates(now)
-            if now - item.queued_at > _EARMARK_AFTER and self._is_batch(item)
+            if now - item.queued_at > _RESERVE_AFTER and self._is_batch(item)
         ]
         if waiting:
             oldest = min(waiting, key=lambda item: item.queued_at)
-            self._earmark = _Earmark(oldest, self._soonest_free(oldest))
+            self._reservation = _Reservation(
+                oldest, self._workers_to_reserve(oldest)
+            )
 
     def running_on(self, worker: WorkerId) -> list[TaskId]:
         """Return the tasks charged to a worker."""
@@ -422,7 +437,7 @@
         return [] if place is None else list(place.ledger.tasks)
 
     def _place_next(self, now: Seconds) -> Placed | None:
-        for item in self._tries(now):
+        for item in self._placement_candidates(now):
             placed = self._try_place(item, now)
             if placed is not None:
                 self.queue.remove(item)
@@ -434,17 +449,17 @@
                 return placed
         return None
 
-    def _tries(self, now: Seconds) -> list[WorkItem]:
-        """Return the items worth trying: a few tenants of each class."""
+    def _placement_candidates(self, now: Seconds) -> list[WorkItem]:
+        """Return the items to attempt: a few tenants of each class."""
         tried: dict[ClassName, int] = defaultdict(int)
         chosen = []
         for item in self.queue.candidates(now):
-            within = self._within_quota(
+            within_quota = self._within_quota(
                 item.tenant,
                 self.shares.used(item.tenant),
                 item,
             )
-            if within and tried[item.class_name] < _TENANTS_TRIED:
+            if within_quota and tried[item.class_name] < _MAX_TENANTS_TRIED:
                 tried[item.class_name] += 1
                 chosen.append(item)
         return chosen
@@ -456,18 +471,18 @@
         places: list[Place] = []
         racks: set[str] = set()
         for index in range(item.gang):
-            place = self._choose(item, frozenset(racks), now)
+            place = self._choose_place(item, frozenset(racks), now)
             if place is None:
-                self._undo(item, places)
+                self._roll_back(item, places)
                 return None
             self.reserve(place, item, member_key(item, index), now)
             places.append(place)
             racks.add(place.rack)
-        if self._earmark is not None and self._earmark.item is item:
-            self._earmark = None
+        if self._reservation is not None and self._reservation.item is item:
+            self._reservation = None
         return Placed(item, tuple(places))
 
-    def _choose(
+    def _choose_place(
         self,
         item: WorkItem,
         racks: frozenset[str],
@@ -478,76 +493,81 @@
         demand = Demand(
             size=item.size,
             headroom=self._headroom(item),
-            avoid=self._avoided(item, now) | self._kept_from(item),
+            avoid=self._avoided_workers(item, now) | self._barred_workers(item),
             crowded_racks=racks if spread else frozenset(),
         )
         return choose_place(work_class.policy, self.shard, demand)
 
-    def _undo(self, item: WorkItem, places: list[Place]) -> None:
+    def _roll_back(self, item: WorkItem, places: list[Place]) -> None:
         for index, place in enumerate(places):
             key = member_key(item, index)
             self.give_back(place.worker, key, Proof.NEVER_SENT)
 
     def _headroom(self, item: WorkItem) -> Resources:
         urgent = self._bundle.classes[item.class_name].urgent
-        kept = self._is_batch(item) and not urgent
-        return self._zone.headroom if kept else NOTHING
+        leaves_headroom = self._is_batch(item) and not urgent
+        return self._zone.headroom if leaves_headroom else NOTHING
 
     def _is_batch(self, item: WorkItem) -> bool:
         work_class = self._bundle.classes.get(item.class_name)
         return work_class is not None and work_class.kind in _BATCH_KINDS
 
-    def _avoided(self, item: WorkItem, now: Seconds) -> frozenset[WorkerId]:
-        """Return the workers to avoid; waiting long is worse than them."""
+    def _avoided_workers(
+        self, item: WorkItem, now: Seconds
+    ) -> frozenset[WorkerId]:
+        """Return the workers to avoid.
+
+        None are avoided once the item is overdue: a longer wait is worse.
+        """
         waited = now - item.queued_at
         return item.avoid if waited < _AVOID_FOR else frozenset()
 
-    def _kept_from(self, item: WorkItem) -> frozenset[WorkerId]:
+    def _barred_workers(self, item: WorkItem) -> frozenset[WorkerId]:
         if not self._is_batch(item):
             return frozenset()
-        promised = frozenset(
+        nominated = frozenset(
             worker
-            for worker, promise in self._promise_by_worker.items()
-            if promise.item is not item
+            for worker, nomination in self._nomination_by_worker.items()
+            if nomination.item is not item
         )
         if self.work_class(item.class_name).urgent:
-            return promised
-        return promised | self._earmarked_from(item)
+            return nominated
+        return nominated | self._reserved_workers(item)
 
-    def _earmarked_from(self, item: WorkItem) -> frozenset[WorkerId]:
-        earmark = self._earmark
-        if earmark is None or earmark.item is item:
+    def _reserved_workers(self, item: WorkItem) -> frozenset[WorkerId]:
+        reservation = self._reservation
+        if reservation is None or reservation.item is item:
             return frozenset()
-        if not earmark.item.waiting:
-            # It went elsewhere, or was given up.
-            self._earmark = None
+        if not reservation.item.waiting:
+            # It was placed, declined or cancelled.
+            self._reservation = None
             return frozenset()
         expected = self.run_times.quantile(
             item.tenant,
             item.class_name,
-            _RUN_TIME_SHARE,
+            _RUN_TIME_QUANTILE,
             math.inf,
         )
-        return frozenset() if expected < _EARMARK_AFTER else earmark.workers
+        return frozenset() if expected < _RESERVE_AFTER else reservation.workers
 
-    def _soonest_free(self, item: WorkItem) -> frozenset[WorkerId]:
-        """Return the open places where the item would fit with least taken."""
+    def _workers_to_reserve(self, item: WorkItem) -> frozenset[WorkerId]:
+        """Return enough open workers for the item, most free cores first."""
         fitting = [
             place
-            for place in self.shard.roomiest()
+            for place in self.shard.by_most_free_cores()
             if place.open and item.size.fits(place.ledger.capacity)
         ]
-        per_place = [
-            _times(item.size + NOTHING, place.ledger.capacity)
+        count_per_place = [
+            _fit_count(item.size + NOTHING, place.ledger.capacity)
             for place in fitting
         ]
         chosen: list[WorkerId] = []
-        room = 0
-        for place, count in zip(fitting, per_place, strict=True):
-            if room >= item.gang:
+        fit_count = 0
+        for place, count in zip(fitting, count_per_place, strict=True):
+            if fit_count >= item.gang:
                 break
             chosen.append(place.worker)
-            room += count
+            fit_count += count
         return frozenset(chosen)
 
     def _plan_for(
@@ -556,7 +576,7 @@
         work_class: WorkClass,
         now: Seconds,
     ) -> VictimPlan | None:
-        if self._is_promised(item, now):
+        if self._has_nomination(item, now):
             return None
         victims = {
             worker: [
@@ -575,18 +595,19 @@
         )
         if plan is not None:
             self._stopping.update(victim.task for victim in plan.victims)
-            self._promise_by_worker[plan.worker] = _Promise(item, now)
+            self._nomination_by_worker[plan.worker] = _Nomination(item, now)
         return plan
 
-    def _is_promised(self, item: WorkItem, now: Seconds) -> bool:
-        """Tell whether room is being made for an item; drop old promises."""
-        self._promise_by_worker = {
-            worker: promise
-            for worker, promise in self._promise_by_worker.items()
-            if promise.item.waiting and now - promise.at < _PROMISE_LASTS
+    def _has_nomination(self, item: WorkItem, now: Seconds) -> bool:
+        """Drop old nominations; return whether `item` still has one."""
+        self._nomination_by_worker = {
+            worker: nomination
+            for worker, nomination in self._nomination_by_worker.items()
+            if nomination.item.waiting
+            and now - nomination.created_at < _NOMINATION_TTL
         }
-        promises = self._promise_by_worker.values()
-        return any(promise.item is item for promise in promises)
+        nominations = self._nomination_by_worker.values()
+        return any(nomination.item is item for nomination in nominations)
 
     def _check_wait(self, item: WorkItem, now: Seconds) -> Declined | None:
         ahead = self.queue.length_of(item.class_name)
@@ -601,21 +622,21 @@
             )
         return None
 
-    def _is_stuck(self, item: WorkItem) -> bool:
-        """Tell whether a request had better go to another scheduler.
+    def _should_redirect(self, item: WorkItem) -> bool:
+        """Return whether only another scheduler can run a request.
 
-        While none of them could take it either, it keeps its turn here.
-        Tasks of jobs wait: their owner offers them to others meanwhile.
+        If no other scheduler can run it either, it stays in the queue here.
+        Tasks of jobs also stay: meanwhile their owner offers them to others.
         """
         work_class = self.find_class(item.class_name)
         if work_class is None or work_class.kind is not WorkKind.REQUEST:
             return False
-        if self.shard.open_fits(item.size):
+        if self.shard.fits_open_worker(item.size):
             return False
         return any(item.size.fits(shape) for shape in self.peer_shapes)
 
-    def _pass_on(self, item: WorkItem) -> Declined:
-        detail = 'no worker here could take it at the moment'
+    def _redirect(self, item: WorkItem) -> Declined:
+        detail = 'no worker of this scheduler can run it at present'
         return self._decline(item, RefusalCode.NOT_HOLDER, detail)
 
     def _decline(
@@ -632,13 +653,13 @@
         used: Resources,
         item: WorkItem,
     ) -> bool:
-        known = self._bundle.tenants.get(tenant)
-        if known is None or known.quota == _NO_QUOTA:
+        settings = self._bundle.tenants.get(tenant)
+        if settings is None or settings.quota == _NO_QUOTA:
             return True
-        wanted = used
+        required = used
         for _ in range(item.gang):
-            wanted = wanted + item.size
-        return _under(known.quota, wanted)
+            required = required + item.size
+        return _within_limits(settings.quota, required)
 
     def _charge(
         self,
@@ -660,7 +681,7 @@
         self.shares.add(item.tenant, item.size)
         self.queue.refresh(item.tenant)
         if self.ejector.standing(place.worker, now) is Standing.PROBATION:
-            # One probe at a time; its end opens the place again.
+            # One probe at a time; the end of the task allows the next.
             place.trusted = False
         work_class = self._bundle.classes.get(item.class_name)
         if work_class is not None and work_class.preemptible:
@@ -691,17 +712,17 @@
         place.trusted = standing is not Standing.EJECTED
 
 
-def _times(size: Resources, room: Resources) -> int:
-    """Return how often `size` fits into `room`."""
-    pairs = zip(size.amounts(), room.amounts(), strict=True)
+def _fit_count(size: Resources, capacity: Resources) -> int:
+    """Return how many times `size` fits into `capacity`."""
+    pairs = zip(size.amounts(), capacity.amounts(), strict=True)
     counts = [int(whole // part) for part, whole in pairs if part > 0]
     return min(counts, default=1)
 
 
-def _under(quota: Quota, wanted: Resources) -> bool:
+def _within_limits(quota: Quota, required: Resources) -> bool:
     pairs = (
-        (quota.cores, wanted.cores),
-        (quota.memory, wanted.memory),
-        (quota.accelerators, wanted.accelerators),
+        (quota.cores, required.cores),
+        (quota.memory, required.memory),
+        (quota.accelerators, required.accelerators),
     )
     return all(not limit or amount <= limit for limit, amount in pairs)
--- a/orchidrail/deciding/estimates.py
+++ b/orchidrail/deciding/estimates.py
@@ -1,4 +1,4 @@
-"""Run times learned by tenant and class."""
+"""Run-time estimates by tenant and class."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from orchidrail.types import ClassName, Seconds, TenantId
 
 _BUCKETS = 48
-_SMALLEST: Seconds = 0.001
+_MIN_BOUND: Seconds = 0.001
 _GROWTH = 1.5
-#: Counts are halved at this many, so that old ones fade.
-_FULL = 1024
+#: Counts are halved at this total, so that old values lose weight.
+_MAX_TOTAL = 1024
 
 
 class _Histogram:
-    """Counts in buckets whose bounds grow geometrically."""
+    """Histogram with geometrically growing bucket bounds."""
 
     def __init__(self) -> None:
         self.counts = [0 for _ in range(_BUCKETS)]
         self.total = 0
 
     def add(self, value: Seconds) -> None:
-        """Count one value."""
+        """Count one value, in seconds."""
         self.counts[_bucket(value)] += 1
         self.total += 1
-        if self.total >= _FULL:
+        if self.total >= _MAX_TOTAL:
             self.counts = [count // 2 for count in self.counts]
             self.total = sum(self.counts)
 
     def quantile(self, share: float) -> Seconds:
-        """Return the upper bound of the bucket that `share` falls in."""
-        wanted = share * self.total
-        seen = 0
+        """Return the upper bound of the bucket of quantile `share`."""
+        target = share * self.total
+        cumulative = 0
         for index, count in enumerate(self.counts):
-            seen += count
-            if seen >= wanted:
-                return _SMALLEST * _GROWTH**index
-        return _SMALLEST * _GROWTH ** (_BUCKETS - 1)
+            cumulative += count
+            if cumulative >= target:
+                return _MIN_BOUND * _GROWTH**index
+        return _MIN_BOUND * _GROWTH ** (_BUCKETS - 1)
 
 
 def _bucket(value: Seconds) -> int:
-    if value <= _SMALLEST:
+    if value <= _MIN_BOUND:
         return 0
-    index = math.ceil(math.log(value / _SMALLEST, _GROWTH))
+    index = math.ceil(math.log(value / _MIN_BOUND, _GROWTH))
     return min(_BUCKETS - 1, index)
 
 
@@ -61,7 +61,7 @@
     """
 
     def __init__(self) -> None:
-        """Start with nothing learned."""
+        """Start without observations."""
         self._by_origin: dict[tuple[str, str], _Histogram] = {}
 
     def add(
@@ -70,7 +70,7 @@
         class_name: ClassName,
         seconds: Seconds,
     ) -> None:
-        """Learn one run time."""
+        """Record one run time."""
         histogram = self._by_origin.setdefault(
             (tenant, class_name), _Histogram()
         )
@@ -83,7 +83,7 @@
         share: float,
         default: Seconds,
     ) -> Seconds:
-        """Return a quantile of what was learned, or `default`."""
+        """Return a quantile of the run times; `default` if there are none."""
         histogram = self._by_origin.get((tenant, class_name))
         if histogram is None or histogram.total == 0:
             return default
--- a/orchidrail/deciding/placement.py
+++ b/orchidrail/deciding/placement.py
@@ -1,4 +1,4 @@
-"""Placement policies, chosen by the type of the policy's record.
+"""Placement policies, dispatched on the type of the policy record.
 
 See Also
 --------
@@ -18,23 +18,23 @@
 from orchidrail.resources import NOTHING, Resources
 from orchidrail.types import WorkerId
 
-#: Places looked at in the index when no sampled place has room.
+#: Places examined in the index when no sampled place fits.
 _FALLBACK_PLACES = 16
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What a placement is asked for.
+    """Requirements of one placement.
 
     Parameters
     ----------
     size : Resources
-        Room that is needed.
+        Capacity to allocate.
     headroom : Resources
-        Room that must stay free beside it.
+        Capacity that must stay free beside it.
     avoid : frozenset of WorkerId
-        Workers that are not to be used.
+        Workers that must not be used.
     crowded_racks : frozenset of str
-        Racks to be used only if no other has room.
+        Racks to be used only if no place found is in another rack.
     """
 
     size: Resources
@@ -43,7 +43,7 @@
     crowded_racks: frozenset[str] = frozenset()
 
     def allows(self, place: Place) -> bool:
-        """Tell whether `place` may be used."""
+        """Return whether `place` is eligible."""
         return (
             place.open
             and place.trusted
@@ -54,19 +54,19 @@
 
 @singledispatch
 def choose_place(policy: Policy, shard: Shard, demand: Demand) -> Place | None:
-    """Return a place with room for the demand, or None.
+    """Return an eligible place for the demand, or None.
 
     Raises
     ------
     TypeError
-        If no rule is registered for the type of `policy`.
+        If no implementation is registered for the type of `policy`.
     """
     raise TypeError(f'expected a placement policy, got {policy!r}')
 
 
 @choose_place.register
 def _(policy: WaitingPolicy, shard: Shard, demand: Demand) -> Place | None:
-    """Least loaded of a few, as in power of two choices."""
+    """Choose the least loaded sampled place (power of two choices)."""
     fitting = [
         place for place in shard.sample(policy.sample) if demand.allows(place)
     ]
@@ -77,13 +77,13 @@
 
 @choose_place.register
 def _(policy: PackingPolicy, shard: Shard, demand: Demand) -> Place | None:
-    """Best fit on the dominant resource among the fullest that fit."""
+    """Choose the best fit on the dominant resource among the fullest."""
     cores = demand.size.cores + demand.headroom.cores
-    looked_at = itertools.islice(
-        shard.tightest(cores),
+    examined = itertools.islice(
+        shard.by_fewest_free_cores(cores),
         _FALLBACK_PLACES * policy.candidates,
     )
-    allowed = filter(demand.allows, looked_at)
+    allowed = filter(demand.allows, examined)
     scored = list(itertools.islice(allowed, policy.candidates))
     if not scored:
         return _first_allowed(shard, demand)
@@ -91,8 +91,8 @@
 
 
 def _first_allowed(shard: Shard, demand: Demand) -> Place | None:
-    looked_at = itertools.islice(shard.roomiest(), _FALLBACK_PLACES)
-    allowed = [place for place in looked_at if demand.allows(place)]
+    examined = itertools.islice(shard.by_most_free_cores(), _FALLBACK_PLACES)
+    allowed = [place for place in examined if demand.allows(place)]
     if not allowed:
         return None
     return min(allowed, key=lambda place: _spread_key(place, demand))
@@ -103,15 +103,16 @@
 
 
 def _fit_key(place: Place, demand: Demand) -> tuple[bool, float, float]:
-    left = place.ledger.free - demand.size
+    remaining = place.ledger.free - demand.size
     shares = (
-        left.cores / (place.ledger.capacity.cores or 1),
-        left.memory / (place.ledger.capacity.memory or 1),
+        remaining.cores / (place.ledger.capacity.cores or 1),
+        remaining.memory / (place.ledger.capacity.memory or 1),
     )
-    # What is left should be little, and of one proportion, to be of use.
-    unevenness = abs(shares[0] - shares[1])
+    # A remainder with few cores but much memory, or the reverse, is hard
+    # to use: prefer small and balanced remainders.
+    imbalance = abs(shares[0] - shares[1])
     return (
         place.rack in demand.crowded_racks,
-        max(shares) + unevenness,
+        max(shares) + imbalance,
         shares[0],
     )
--- a/orchidrail/deciding/preemption.py
+++ b/orchidrail/deciding/preemption.py
@@ -1,4 +1,4 @@
-"""Choosing cheaper work to stop so that urgent work starts in time."""
+"""Preemption: selects running work to stop in favor of urgent work."""
 
 from __future__ import annotations
 
@@ -15,30 +15,30 @@
 
     from orchidrail.deciding.shard import Place, Shard
 
-#: Workers looked at for victims.
+#: Workers examined for victims.
 _SAMPLED_PLACES = 8
 
 
 class Victim(msgspec.Struct, frozen=True):
-    """A running task that may be stopped for more urgent work."""
+    """A running task that may be preempted."""
 
     task: TaskId
     worker: WorkerId
     size: Resources
     priority: int
-    #: Work lost by stopping it: seconds since its last checkpoint.
+    #: Work lost by preemption: seconds since the last checkpoint.
     lost: Seconds
 
 
 class VictimPlan(msgspec.Struct, frozen=True):
-    """Tasks to stop on one worker."""
+    """Tasks to preempt on one worker."""
 
     worker: WorkerId
     victims: tuple[Victim, ...]
 
     @property
     def cost(self) -> tuple[int, Seconds]:
-        """Highest priority hurt, then core-seconds lost."""
+        """Highest priority among the victims, then core-seconds lost."""
         highest = max(victim.priority for victim in self.victims)
         lost = sum(victim.lost * victim.size.cores for victim in self.victims)
         return (highest, lost)
@@ -50,26 +50,26 @@
     priority: int,
     victims_by_worker: dict[WorkerId, list[Victim]],
 ) -> VictimPlan | None:
-    """Return the cheapest of a few plans that make room for `size`.
+    """Return the cheapest sampled plan that frees capacity for `size`.
 
     Parameters
     ----------
     size : Resources
-        Room that the urgent task needs.
+        Capacity that the urgent task needs.
     priority : int
-        Only work of lower priority is stopped.
+        Only tasks of lower priority are preempted.
     victims_by_worker : dict
-        Preemptible tasks of each worker.
+        Preemptible tasks by worker.
     """
     with_victims = (
         shard.place_by_worker[worker]
         for worker in victims_by_worker
         if worker in shard.place_by_worker
     )
-    looked_at = itertools.islice(with_victims, _SAMPLED_PLACES)
+    sampled = itertools.islice(with_victims, _SAMPLED_PLACES)
     plans = (
         _plan_for(place, size, priority, victims_by_worker[place.worker])
-        for place in looked_at
+        for place in sampled
         if place.open
     )
     found = [plan for plan in plans if plan is not None]
@@ -82,11 +82,11 @@
     priority: int,
     victims: Iterable[Victim],
 ) -> VictimPlan | None:
-    cheaper = [victim for victim in victims if victim.priority < priority]
-    cheaper.sort(key=lambda victim: (victim.priority, victim.lost))
+    preemptible = [victim for victim in victims if victim.priority < priority]
+    preemptible.sort(key=lambda victim: (victim.priority, victim.lost))
     freed = NOTHING
     chosen: list[Victim] = []
-    for victim in cheaper:
+    for victim in preemptible:
         if size.fits(place.ledger.free + freed):
             break
         chosen.append(victim)
--- a/orchidrail/deciding/retry_budget.py
+++ b/orchidrail/deciding/retry_budget.py
@@ -1,19 +1,19 @@
-"""Retries as a share of successes."""
+"""Retry budget: limits retries to a share of successes."""
 
 from __future__ import annotations
 
-_FULL = 20.0
-#: Slack for sums of shares.
-_ROUNDING = 1e-9
+_MAX_TOKENS = 20.0
+#: Tolerance for rounding errors in sums of shares.
+_ROUNDING_TOLERANCE = 1e-9
 
 
 class RetryBudget:
-    """Tokens that successes earn and retries spend.
+    """Token bucket that successes fill and retries drain.
 
     Parameters
     ----------
     share : float
-        Retries allowed for each success, in the long run.
+        Tokens per success: retries per success in the long run.
 
     Examples
     --------
@@ -27,17 +27,17 @@
     """
 
     def __init__(self, share: float = 0.1, initial: float = 10) -> None:
-        """Start with `initial` retries at hand."""
+        """Start with `initial` tokens."""
         self._share = share
         self._tokens = initial
 
     def earn(self) -> None:
-        """Count one success."""
-        self._tokens = min(_FULL, self._tokens + self._share)
+        """Add the tokens of one success, up to the limit."""
+        self._tokens = min(_MAX_TOKENS, self._tokens + self._share)
 
     def spend(self) -> bool:
-        """Take one retry; return False if there is none."""
-        if self._tokens < 1 - _ROUNDING:
+        """Take the token of one retry; return False if there is none."""
+        if self._tokens < 1 - _ROUNDING_TOLERANCE:
             return False
         self._tokens -= 1
         return True
--- a/orchidrail/deciding/shard.py
+++ b/orchidrail/deciding/shard.py
@@ -1,4 +1,4 @@
-"""The workers that one scheduler holds, indexed by free room."""
+"""The workers that one scheduler leases, indexed by free capacity."""
 
 from __future__ import annotations
 
@@ -17,35 +17,35 @@
 
 
 class Place:
-    """One worker as a place for work.
+    """One worker as a placement target.
 
     Parameters
     ----------
     worker : WorkerId
     rack : str
-        Name of the rack it stands in.
+        Name of the rack of the worker.
     ledger : Ledger
-        What has been promised of it.
+        Allocations of its capacity.
     """
 
     def __init__(self, worker: WorkerId, rack: str, ledger: Ledger) -> None:
-        """Start open for work."""
+        """Start open and trusted."""
         self.worker = worker
         self.rack = rack
         self.ledger = ledger
-        #: Cleared while the worker is leaving, ejected or without a lease.
+        #: False while the worker is leaving, ejected or without a lease.
         self.open = True
-        #: Cleared while it may take only probes.
+        #: False while ejected, or while a probe runs during probation.
         self.trusted = True
 
     @property
     def load(self) -> float:
-        """Dominant share that is taken."""
-        taken = self.ledger.capacity - self.ledger.free
-        return taken.dominant_share(self.ledger.capacity)
+        """Dominant share of the allocated capacity."""
+        allocated = self.ledger.capacity - self.ledger.free
+        return allocated.dominant_share(self.ledger.capacity)
 
     def has_room(self, size: Resources, headroom: Resources = NOTHING) -> bool:
-        """Tell whether `size` fits and leaves `headroom` free."""
+        """Return whether `size` fits and leaves `headroom` free."""
         free = self.ledger.free
         if headroom is NOTHING:
             return size.fits(free)
@@ -55,23 +55,23 @@
 class Shard:
     """Places by worker, with an index by free cores.
 
-    The cost of a look-up doesn't grow with the number of places: the index
-    has a bucket for each whole number of free cores.
+    The index has a bucket for each whole number of free cores, so the cost
+    of a lookup doesn't grow with the number of places.
 
     Parameters
     ----------
     random : Random
-        Source of the samples.
+        Random source for sampling.
     """
 
     def __init__(self, random: Random) -> None:
-        """Start with no place."""
+        """Start without places."""
         self.place_by_worker: dict[WorkerId, Place] = {}
         self.capacity = NOTHING
         self._random = random
         self._order: list[WorkerId] = []
         self._position_by_worker: dict[WorkerId, int] = {}
-        #: Workers by whole free cores; a bucket keeps the order of arrival.
+        #: Workers by whole free cores, each bucket in insertion order.
         self._workers_by_cores: list[dict[WorkerId, None]] = []
         self._cores_by_worker: dict[WorkerId, int] = {}
         self._by_shape: SortedKeyList = SortedKeyList(key=_shape_key)
@@ -81,7 +81,7 @@
         return len(self._order)
 
     def add(self, place: Place) -> None:
-        """Take a place in, replacing one of the same worker."""
+        """Add a place, replacing that of the same worker."""
         self.remove(place.worker)
         self.place_by_worker[place.worker] = place
         self._position_by_worker[place.worker] = len(self._order)
@@ -91,7 +91,7 @@
         self.refresh(place.worker)
 
     def remove(self, worker: WorkerId) -> None:
-        """Leave a place out."""
+        """Remove the place of a worker, if there is one."""
         place = self.place_by_worker.pop(worker, None)
         if place is None:
             return
@@ -102,16 +102,16 @@
         self._workers_by_cores[cores].pop(worker)
 
     def refresh(self, worker: WorkerId) -> None:
-        """Bring the index up to date after the worker's ledger changed."""
+        """Update the index after a change to the worker's ledger."""
         place = self.place_by_worker.get(worker)
         if place is None:
             return
-        known = self._cores_by_worker.get(worker)
+        previous = self._cores_by_worker.get(worker)
         cores = max(0, int(place.ledger.free.cores))
-        if known == cores:
+        if previous == cores:
             return
-        if known is not None:
-            self._workers_by_cores[known].pop(worker)
+        if previous is not None:
+            self._workers_by_cores[previous].pop(worker)
         self._bucket(cores)[worker] = None
         self._cores_by_worker[worker] = cores
 
@@ -125,21 +125,21 @@
             index = int(self._random.random() * size)
             yield self.place_by_worker[self._order[index]]
 
-    def tightest(self, cores: float) -> Iterator[Place]:
-        """Yield places with at least `cores` free, the fullest first."""
+    def by_fewest_free_cores(self, cores: float) -> Iterator[Place]:
+        """Yield places with at least `int(cores)` cores free, fewest first."""
         for workers in self._workers_by_cores[int(cores) :]:
             for worker in workers:
                 yield self.place_by_worker[worker]
 
-    def roomiest(self) -> Iterator[Place]:
-        """Yield places, those with most whole cores free first."""
+    def by_most_free_cores(self) -> Iterator[Place]:
+        """Yield places in descending order of whole free cores."""
         for workers in reversed(self._workers_by_cores):
             for worker in workers:
                 yield self.place_by_worker[worker]
 
     def largest_free(self) -> Resources:
-        """Return the free room of the place with most free cores."""
-        for place in self.roomiest():
+        """Return the free capacity of the open place with most free cores."""
+        for place in self.by_most_free_cores():
             if place.open:
                 return place.ledger.free
         return NOTHING
@@ -154,19 +154,19 @@
         return max(shapes, key=_shape_key, default=NOTHING)
 
     def total_free(self) -> Resources:
-        """Return the sum of the free room of all places."""
+        """Return the sum of the free capacity of all places."""
         total = NOTHING
         for place in self.place_by_worker.values():
             total = total + place.ledger.free
         return total
 
     def ever_fits(self, size: Resources) -> bool:
-        """Tell whether an empty worker of some shape could hold `size`."""
+        """Return whether `size` fits the full capacity of any worker."""
         largest = reversed(self._by_shape)
         return any(size.fits(shape) for shape in largest)
 
-    def open_fits(self, size: Resources) -> bool:
-        """Tell whether an open place could, once empty, hold `size`."""
+    def fits_open_worker(self, size: Resources) -> bool:
+        """Return whether `size` fits the full capacity of an open worker."""
         return any(
             place.open and size.fits(place.ledger.capacity)
             for place in self.place_by_worker.values()
--- a/orchidrail/deciding/tests/__init__.py
+++ b/orchidrail/deciding/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the modules beside this folder."""
+"""Tests of the scheduling decisions."""
--- a/orchidrail/deciding/tests/test_engine.py
+++ b/orchidrail/deciding/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Tests of the decisions."""
+"""Tests of the decision engine."""
 
 from __future__ import annotations
 
@@ -96,7 +96,7 @@
             self.engine.add_place(Place(worker, 'r', Ledger(_SHAPE)))
 
     def fill(self, class_name: ClassName = _BATCH) -> list[Placed]:
-        """Offer tasks until one must wait; return those placed."""
+        """Offer items until one is queued; return those placed."""
         placed = []
         for number in range(100):
             item = _item(f'{class_name}-{number}', class_name)
@@ -105,7 +105,7 @@
                 self.engine.cancel(item)
                 return placed
             placed.append(decision)
-        raise AssertionError('never full')
+        raise AssertionError('100 items were placed; expected full workers')
 
     def test_batch_work_leaves_headroom_for_requests(self) -> None:
         self.fill()
@@ -114,7 +114,7 @@
         answer = self.engine.offer(_item('r', _REQUEST), 0)
         self.assertIsInstance(answer, Placed)
 
-    def test_what_can_never_run_is_declined_at_once(self) -> None:
+    def test_items_that_never_fit_are_declined_at_once(self) -> None:
         cases = (
             (_item('a', cores=7), RefusalCode.NEVER_FITS),
             (_item('b', cores=4, gang=4), RefusalCode.NEVER_FITS),
@@ -128,7 +128,7 @@
             self.assertIsInstance(declined, Declined, item.key)
             self.assertIs(code, declined.code)
 
-    def test_a_quota_keeps_work_waiting(self) -> None:
+    def test_items_beyond_the_quota_stay_queued(self) -> None:
         for number in range(3):
             item = _item(f'a{number}', cores=4, tenant=_TEAM)
             self.assertIsInstance(self.engine.offer(item, 0), Placed)
@@ -136,7 +136,7 @@
         self.assertIsInstance(self.engine.offer(more, 0), Queued)
         self.assertEqual([], self.engine.pump(1))
 
-    def test_expired_items_are_told_also_behind_others(self) -> None:
+    def test_expired_items_behind_others_are_returned(self) -> None:
         self.fill(_REQUEST)
         self.engine.offer(_item('long', _REQUEST, deadline=90), 0)
         self.engine.offer(_item('short', _REQUEST, deadline=1), 0)
@@ -144,7 +144,7 @@
         self.assertEqual(['short'], [item.key for item in late])
         self.assertEqual(1, len(self.engine.queue))
 
-    def test_urgent_work_gets_the_room_made_for_it(self) -> None:
+    def test_urgent_item_gets_the_preempted_capacity(self) -> None:
         self.fill()
         for number in range(5):
             self.engine.offer(_item(f'wait{number}'), 0)
@@ -158,7 +158,7 @@
         place = self.engine.shard.place_by_worker[plan.worker]
         self.assertIn(urgent.key, place.ledger)
 
-    def test_a_gang_starts_whole_or_not_at_all(self) -> None:
+    def test_a_gang_is_placed_all_or_nothing(self) -> None:
         self.engine.offer(_item('a', cores=4), 0)
         gang = _item('g', _GANG, cores=6, gang=3)
         self.assertIsInstance(self.engine.offer(gang, 0), Queued)
@@ -183,7 +183,7 @@
                 return
         self.fail('the gang was starved')
 
-    def test_places_are_not_kept_for_what_went_away(self) -> None:
+    def test_reservation_ends_when_its_item_is_declined(self) -> None:
         placed = self.fill()
         gang = _item('g', _GANG, cores=6, gang=3)
         self.engine.offer(gang, 0)
@@ -194,14 +194,14 @@
             self.engine.note_end(worker, one.item.key, ok=True, now=10)
         self.assertEqual(len(placed), len(self.fill()))
 
-    def test_avoided_workers_are_used_rather_than_none(self) -> None:
+    def test_avoided_workers_are_used_after_a_delay(self) -> None:
         item = _item('a')
         item.avoid = frozenset(self.engine.shard.place_by_worker)
         self.assertIsInstance(self.engine.offer(item, 0), Queued)
         self.assertEqual([], self.engine.pump(1))
         self.assertEqual([item], [one.item for one in self.engine.pump(10)])
 
-    def test_cancelling_many_leaves_nothing(self) -> None:
+    def test_cancelling_many_items_empties_the_queue(self) -> None:
         self.fill()
         items = [_item(f'c{number}') for number in range(10_000)]
         for item in items:
@@ -211,7 +211,7 @@
         self.assertEqual(0, len(self.engine.queue))
         self.assertEqual([], self.engine.pump(1))
 
-    def test_work_goes_on_elsewhere_when_no_worker_is_held(self) -> None:
+    def test_requests_are_redirected_without_workers(self) -> None:
         for number in range(3):
             self.engine.remove_place(WorkerId(f'w-{number}'))
         self.engine.accepting = False
