--- a/orchidrail/scheduler/job_claims.py
+++ b/orchidrail/scheduler/job_claims.py
@@ -1,8 +1,8 @@
-"""Claims of a job's attempts, kept by two workers.
+"""Claims of a job's attempts, stored at two workers.
 
-An attempt may start only after both the job's witness, under its lease, and
-the backup, which refuses fenced generations, have its claim. So either of the
-two, once fenced, tells a new owner of every attempt that can ever start.
+An attempt may start only after its claim is stored at both the job's witness,
+under the witness's lease, and the backup, which refuses fenced generations.
+So either of the two, once fenced, lists every attempt that can ever start.
 """
 
 from __future__ import annotations
@@ -51,25 +51,25 @@
     from orchidrail.scheduler.ports import Ports
     from orchidrail.scheduler.zone_calls import ZoneCalls
 
-_TIMEOUT: Seconds = 1
-_RETRY: Seconds = 0.2
+_CALL_TIMEOUT: Seconds = 1
+_RETRY_INTERVAL: Seconds = 0.2
 _log = structlog.get_logger()
 
 
-class DisownedError(Exception):
-    """The witness's lease was lost: another scheduler may own the job."""
+class OwnershipLostError(Exception):
+    """The witness's lease is lost; another scheduler may own the job."""
 
 
-class JobOverError(Exception):
-    """The job has ended, though the log's fold doesn't tell of it yet."""
+class JobEndedError(Exception):
+    """The job has ended, but the state read from the log lags behind."""
 
 
 class RefusedMarkerError(Exception):
-    """A witness will never keep the marker: it was settled before."""
+    """A witness rejects the marker for good: its key was settled before."""
 
 
 class JobClaims:
-    """Puts, recovers and forgets the claims of owned jobs."""
+    """Stores, recovers and deletes the claims of owned jobs."""
 
     def __init__(
         self,
@@ -79,7 +79,7 @@
         calls: ZoneCalls,
         boots: BootBook,
     ) -> None:
-        """Hold the parts."""
+        """Store the collaborators."""
         self._ports = ports
         self._keeper = keeper
         self._fleet = fleet
@@ -87,15 +87,16 @@
         self._boots = boots
 
     async def claim(self, entry: JobEntry, notes: list[ClaimNote]) -> None:
-        """Claim an attempt's tasks; nobody else can from then on.
+        """Claim an attempt's tasks, so that no other scheduler can.
 
         Raises
         ------
-        DisownedError
-            If the job is another's, or its witness isn't held any more.
+        OwnershipLostError
+            If another scheduler owns the job, or the witness's lease is lost.
         """
         markers = [
-            _marker(entry, claim_of(note.task), note.text) for note in notes
+            _make_marker(entry, claim_of(note.task), note.text)
+            for note in notes
         ]
         for report, marker in zip(
             await self._put_all(entry, markers),
@@ -103,20 +104,20 @@
             strict=True,
         ):
             if report.note != marker.note:
-                raise DisownedError(marker.key)
+                raise OwnershipLostError(marker.key)
 
     async def confirm(self, entry: JobEntry) -> bool:
-        """Tell whether the job was not refused to its caller.
+        """Return whether the job was not refused to its caller.
 
-        Only the witnesses that its key names are told of a refusal. That a
-        later generation was found not to be refused is kept by its own mark,
-        at both of its witnesses, so that no owner asks again.
+        A refusal is stored only at the witnesses that the job's key names.
+        A later generation that was found not to be refused stores a marker
+        of its own at both of its witnesses, so that no owner checks again.
         """
         if entry.former:
             mark = recovered_marker(entry.spec.key, entry.generation)
-            await self._put_all(entry, [_marker(entry, mark, 'recovered')])
+            await self._put_all(entry, [_make_marker(entry, mark, 'recovered')])
             return True
-        marker = _marker(entry, job_claim(entry.spec.key), 'accepted')
+        marker = _make_marker(entry, job_claim(entry.spec.key), 'accepted')
         report = await self._put_at_witness(entry, marker)
         if report.state is not TaskState.MARKER:
             return False
@@ -127,21 +128,23 @@
         return True
 
     async def recover(self, entry: JobEntry) -> list[TaskReport]:
-        """Return the job's claims; earlier generations' are copied first.
+        """Return the job's claims, after copying those of past generations.
 
-        That they were copied is noted only by `confirm`.
+        Only `confirm` records that they were copied.
 
-        They are read from the witness now: what it told when its lease was
-        acquired may be older than claims that were made since.
+        The claims are read from the witness now, because those listed when
+        its lease was acquired may lack claims that were made since.
         """
         found = await self._read_witness(entry)
-        _check_not_over(entry, found, entry.generation)
+        _check_not_ended(entry, found, entry.generation)
         mark = recovered_marker(entry.spec.key, entry.generation)
         kept = [report for report in found if is_claim(report)]
         if not entry.former or mark in [report.key for report in found]:
             return kept
-        claims = [*await self._read_former(entry), *kept]
-        markers = [_marker(entry, claim.key, claim.note) for claim in claims]
+        claims = [*await self._read_previous_claims(entry), *kept]
+        markers = [
+            _make_marker(entry, claim.key, claim.note) for claim in claims
+        ]
         await self._put_all(entry, markers)
         _log.info(
             'job recovered',
@@ -152,24 +155,25 @@
         return claims
 
     async def note_refused(self, entry: JobEntry) -> None:
-        """Have both witnesses remember that the job was found refused.
+        """Record at both witnesses that the job was found to be refused.
 
-        Done before its end is told: a next owner, which may have read another
-        witness than this one, has either fenced one of the two, or finds it.
+        This precedes the record of the job's end. The next owner may have
+        read the other witness; it has either fenced one of the two, which
+        makes this call fail, or it finds the marker.
 
         Raises
         ------
-        DisownedError
-            If it is for another owner to find out.
+        OwnershipLostError
+            If another owner has fenced a witness or the lease is lost.
         """
         mark = refused_marker(entry.spec.key, entry.generation)
-        await self._put_all(entry, [_marker(entry, mark, 'refused')])
+        await self._put_all(entry, [_make_marker(entry, mark, 'refused')])
 
-    async def is_taken_up(self, entry: JobEntry) -> bool:
-        """Tell whether an owner of a moved job has copied its claims.
+    async def is_recovered(self, entry: JobEntry) -> bool:
+        """Return whether an owner of a moved job has copied its claims.
 
-        That it was not refused was found out on the way, for good: both
-        witnesses keep the mark of it.
+        The marker at both witnesses also proves that the job was not refused,
+        as the owner checks this before it stores the marker.
         """
         mark = recovered_marker(entry.spec.key, entry.generation)
         for witness in (entry.witness, entry.backup):
@@ -179,16 +183,16 @@
         return True
 
     async def note_end(self, entry: JobEntry) -> None:
-        """Have both witnesses remember that the job has ended.
+        """Record at both witnesses that the job has ended.
 
-        A later owner may read them before its fold tells of the end. The
-        marks stay: workers drop them by themselves after the log's retention.
+        A later owner may read them before it reads the end from the log.
+        The markers stay; workers drop them after the log's retention time.
         """
         mark = ended_marker(entry.spec.key)
-        await self._put_all(entry, [_marker(entry, mark, 'ended')])
+        await self._put_all(entry, [_make_marker(entry, mark, 'ended')])
 
     async def forget(self, entry: JobEntry, notes: list[ClaimNote]) -> None:
-        """Let both witnesses forget the claims of an ended job."""
+        """Delete the claims of an ended job at both witnesses."""
         job = entry.spec.key
         claims = [claim_of(note.task) for note in notes]
         claims.append(recovered_marker(job, entry.generation))
@@ -202,14 +206,14 @@
             found = await self._fence(entry, entry.witness)
             if found is not None:
                 return found
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_INTERVAL)
 
     def _check_owner(self, entry: JobEntry, generation: int) -> HeldWorker:
-        """Return the witness, if the job is still this scheduler's."""
+        """Return the witness if this scheduler still owns the job."""
         held = self._keeper.authorised(entry.witness.worker)
         current = generation == entry.generation
         if held is None or held.boot != entry.witness.boot or not current:
-            raise DisownedError(entry.spec.key)
+            raise OwnershipLostError(entry.spec.key)
         return held
 
     async def _put_all(
@@ -225,7 +229,7 @@
         try:
             await self._put_at_backup(entry, markers)
         except RefusedMarkerError as refused:
-            raise DisownedError(entry.spec.key) from refused
+            raise OwnershipLostError(entry.spec.key) from refused
         return reports
 
     async def _put_at_witness(
@@ -238,8 +242,8 @@
             outcome = await held.start(marker)
             if isinstance(outcome, Ok) and not is_refused(outcome.ok_value):
                 return outcome.ok_value
-            # A marker may be put twice: it says the same both times.
-            await asyncio.sleep(_RETRY)
+            # Storing a marker is idempotent, so it is safe to retry.
+            await asyncio.sleep(_RETRY_INTERVAL)
 
     async def _put_at_backup(
         self,
@@ -251,83 +255,83 @@
         while True:
             answer = await self._call(backup, message)
             if isinstance(answer, TaskReports):
-                self._check_kept(answer.tasks)
+                self._check_markers_kept(answer.tasks)
                 return
             if markers[0].generation != entry.generation:
-                raise DisownedError(entry.spec.key)
-            # A lost backup is replaced by moving the job; wait for that.
-            await asyncio.sleep(_RETRY)
+                raise OwnershipLostError(entry.spec.key)
+            # Moving the job replaces a lost backup; wait for that.
+            await asyncio.sleep(_RETRY_INTERVAL)
 
-    def _check_kept(self, reports: list[TaskReport]) -> None:
-        """Fail unless a witness keeps the markers.
+    def _check_markers_kept(self, reports: list[TaskReport]) -> None:
+        """Raise unless a witness has stored the markers.
 
-        A witness that refuses one is fenced: a later generation is in the
-        log. That says nothing of whether the job was refused to its caller.
+        A witness that refuses a marker is fenced: the log holds a later
+        generation. This doesn't mean that the job was refused to its caller.
         """
         for report in reports:
             if is_refused(report):
-                raise DisownedError(report.key)
+                raise OwnershipLostError(report.key)
             if report.state is not TaskState.MARKER:
                 raise RefusedMarkerError(report.key)
 
-    async def _read_former(self, entry: JobEntry) -> list[TaskReport]:
-        """Fence and read the claims of one earlier generation after another.
+    async def _read_previous_claims(self, entry: JobEntry) -> list[TaskReport]:
+        """Fence and read the claims of previous generations in turn.
 
-        Stops at the generation whose owner had copied all older ones.
+        Stops at the generation whose owner has copied all older claims.
         """
         claims: dict[TaskId, TaskReport] = {}
-        for past in entry.former:
-            found = await self._read_pair(entry, past)
-            _check_not_over(entry, found, past.generation)
+        for previous in entry.former:
+            found = await self._read_pair(entry, previous)
+            _check_not_ended(entry, found, previous.generation)
             claims.update((report.key, report) for report in found)
-            mark = recovered_marker(entry.spec.key, past.generation)
-            if mark in claims or not past.generation:
+            mark = recovered_marker(entry.spec.key, previous.generation)
+            if mark in claims or not previous.generation:
                 break
         return [report for report in claims.values() if is_claim(report)]
 
     async def _read_pair(
         self,
         entry: JobEntry,
-        past: WitnessPair,
+        previous: WitnessPair,
     ) -> list[TaskReport]:
-        """Fence either of two witnesses; if both are gone, the zone."""
-        pair = (past.backup, past.witness)
+        """Fence and read one of two witnesses; if both are lost, the zone."""
+        pair = (previous.backup, previous.witness)
         while True:
             for witness in pair:
                 found = await self._fence(entry, witness)
                 if found is not None:
-                    await self._confirm_at(entry, past, witness)
+                    await self._confirm_at(entry, previous, witness)
                     return found
             if all(self._boots.is_lost(*witness) for witness in pair):
                 return await self._fence_zone(entry)
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_INTERVAL)
 
     async def _confirm_at(
         self,
         entry: JobEntry,
-        past: WitnessPair,
+        previous: WitnessPair,
         witness: Witness,
     ) -> None:
-        """Take the job up, or learn that it was refused to its caller.
+        """Store the job's acceptance, unless it was refused to its caller.
 
-        Only the first generation's witnesses can tell.
+        Only the witnesses of generation 0 know of a refusal.
 
         Raises
         ------
         RefusedMarkerError
-            If it was refused: both witnesses of that time then say so.
+            If it was refused: both of these witnesses then report so.
         """
-        if past.generation:
+        if previous.generation:
             return
-        marker = _marker(entry, job_claim(entry.spec.key), 'accepted')
+        marker = _make_marker(entry, job_claim(entry.spec.key), 'accepted')
         message = KeepMarkers(tasks=[marker], boot=witness.boot)
         answer = await self._call(witness, message)
         while not isinstance(answer, TaskReports):
             if self._boots.is_lost(*witness):
                 return
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_INTERVAL)
             answer = await self._call(witness, message)
-        self._check_kept(answer.tasks)
+        self._check_markers_kept(answer.tasks)
 
     async def _fence(
         self,
@@ -345,7 +349,7 @@
         return None
 
     async def _fence_zone(self, entry: JobEntry) -> list[TaskReport]:
-        """Fence every worker of the zone and make claims of what it runs."""
+        """Fence all workers of the zone and derive claims from their tasks."""
         waiting = set(self._fleet.by_worker)
         claims: list[TaskReport] = []
         while waiting:
@@ -354,7 +358,7 @@
                 if found is not None or self._fleet.is_gone(worker):
                     waiting.discard(worker)
                     claims.extend(found or ())
-            await asyncio.sleep(_RETRY)
+            await asyncio.sleep(_RETRY_INTERVAL)
         entry.claims_lost = True
         return claims
 
@@ -368,7 +372,9 @@
             return None
         message = FenceJob(job=entry.spec.key, generation=entry.generation)
         answer = _message_of(
-            await self._ports.transport.call(listed.address, message, _TIMEOUT),
+            await self._ports.transport.call(
+                listed.address, message, _CALL_TIMEOUT
+            ),
         )
         if not isinstance(answer, TaskReports):
             return None
@@ -385,7 +391,7 @@
         answer = await self._ports.transport.call(
             listed.address,
             message,
-            _TIMEOUT,
+            _CALL_TIMEOUT,
         )
         refused = _message_of(answer)
         if isinstance(refused, Refusal) and refused.detail == 'restarted':
@@ -393,7 +399,7 @@
         return refused
 
 
-def _marker(entry: JobEntry, key: TaskId, note: str) -> TaskSpec:
+def _make_marker(entry: JobEntry, key: TaskId, note: str) -> TaskSpec:
     spec = entry.spec
     return TaskSpec(
         key=key,
@@ -406,16 +412,16 @@
     )
 
 
-def _check_not_over(
+def _check_not_ended(
     entry: JobEntry,
     found: list[TaskReport],
     generation: int,
 ) -> None:
-    """Fail if an owner of a generation has found the job to be over."""
+    """Raise if a marker shows that the job has ended or was refused."""
     job = entry.spec.key
     known = {report.key for report in found}
     if ended_marker(job) in known:
-        raise JobOverError(job)
+        raise JobEndedError(job)
     if refused_marker(job, generation) in known:
         raise RefusedMarkerError(job)
 
@@ -426,7 +432,7 @@
     boot: str,
     address: Address,
 ) -> TaskReport:
-    """Make the claim that must have been made for a task that was found."""
+    """Rebuild the claim of a task that was found at a worker."""
     note = ClaimNote(worker, boot, address, report.key)
     return TaskReport(
         key=claim_of(report.key),
@@ -443,6 +449,6 @@
 
 
 def is_claim(report: TaskReport) -> bool:
-    """Tell whether a report is of an attempt's claim."""
+    """Return whether a report is of an attempt's claim."""
     is_marker = report.state is TaskState.MARKER
     return is_marker and '#' in report.key
--- a/orchidrail/scheduler/job_desk.py
+++ b/orchidrail/scheduler/job_desk.py
@@ -1,4 +1,4 @@
-"""Accepting, finding and cancelling jobs: the callers' side of jobs."""
+"""Handles calls that submit, query and cancel jobs."""
 
 from __future__ import annotations
 
@@ -52,42 +52,42 @@
 if TYPE_CHECKING:
     from orchidrail.scheduler.daemon import SchedulerDaemon
 
-_TIMEOUT: Seconds = 1
+_CALL_TIMEOUT: Seconds = 1
 _LOG_RETRY: Seconds = 5
 _WITNESS_RETRY: Seconds = 1
-#: Between two looks at the witnesses of a kept job.
-_LOOK_PAUSE: Seconds = 0.2
-#: How long they are looked at if keeping the job took all of the patience; a
-#: gateway listens for longer than that.
-_LEAST_LOOK: Seconds = 2
-_CANCEL_PATIENCE: Seconds = 5
+#: Between two polls of the witnesses of a committed job.
+_POLL_INTERVAL: Seconds = 0.2
+#: Polling time that remains if the commit used up the caller's timeout; the
+#: gateway waits longer than that for the answer.
+_MIN_POLL_TIME: Seconds = 2
+_CANCEL_TIMEOUT: Seconds = 5
 _WITNESS_FIELD = 2
-_REFUSED_BEFORE = 'the key was refused before; take a new one'
+_REFUSED_BEFORE = 'the key was refused before; request a new one'
 _log = structlog.get_logger()
 
 
 class JobDesk:
-    """Answers callers about jobs."""
+    """Answers calls about jobs."""
 
     def __init__(self, daemon: SchedulerDaemon) -> None:
-        """Belong to a daemon."""
+        """Serve the jobs of a daemon."""
         self._daemon = daemon
-        #: Submissions that are being answered.
+        #: Number of submissions in flight.
         self.in_progress = 0
 
     async def extend_key(self, answer: Message) -> Message:
-        """Name a second witness in a key that is for a job."""
+        """Add a second witness to the key of a job."""
         if not isinstance(answer, KeyIssued):
             return answer
         witness = WorkerId(answer.key.split('.')[_WITNESS_FIELD])
         backup = await self._daemon.mover.choose_backup(witness)
         if backup is None:
-            detail = 'no second worker answers at the moment'
+            detail = 'no second worker responds to be the backup witness'
             return Refusal(code=RefusalCode.UNREACHABLE, detail=detail)
         return KeyIssued(key=extend_key(answer.key, *backup))
 
     async def submit(self, message: SubmitJob) -> Message:
-        """Accept a job: answered once its record is in the log."""
+        """Accept a job; answer once its record is in the log."""
         if not self._daemon.engine.accepting:
             return Refusal(code=RefusalCode.NOT_HOLDER, detail='stopping')
         self.in_progress += 1
@@ -98,10 +98,10 @@
 
     async def _submit(self, message: SubmitJob) -> Message:
         spec = message.job
-        end = self._daemon.ports.clock() + message.patience
+        deadline = self._daemon.ports.clock() + message.patience
         known = self._daemon.book.entry_by_job.get(spec.key)
         if known is not None:
-            return await self._acknowledge(spec, end)
+            return await self._acknowledge(spec, deadline)
         declined = self._check(spec)
         if declined is not None:
             return await self._decline(
@@ -114,16 +114,16 @@
         kept = await self._daemon.commit.commit(record, message.patience)
         if isinstance(kept, Ok):
             self._daemon.jobs_follower.poke()
-            return await self._acknowledge(spec, end)
+            return await self._acknowledge(spec, deadline)
         return await self._decline(
             spec,
             RefusalCode.LOG_DOWN,
-            'the platform has not kept the job in time',
+            'the platform log did not commit the job in time',
             jitter(self._daemon.ports.random, _LOG_RETRY),
         )
 
     async def query(self, message: QueryJob) -> Message:
-        """Return a job's status, from its owner if that can be reached."""
+        """Return a job's status, from its owner if it is reachable."""
         entry = self._daemon.book.entry_by_job.get(message.job)
         if entry is None or entry.spec.tenant != message.tenant:
             return Refusal(code=RefusalCode.UNKNOWN, detail=message.job)
@@ -136,26 +136,26 @@
         return _accepted(entry.spec)
 
     async def cancel(self, message: CancelJob) -> Message:
-        """Cancel a job of the tenant: at its owner, and in the log."""
+        """Cancel a tenant's job here if owned, else through the log."""
         entry = self._daemon.book.entry_by_job.get(message.job)
         if entry is None or entry.spec.tenant != message.tenant:
             return Refusal(code=RefusalCode.UNKNOWN, detail=message.job)
         if entry.ended is not None or self._daemon.runner.cancel(message.job):
             return self._status(message.job)
         record = encode_record(JobCancelled(job=message.job))
-        kept = await self._daemon.commit.commit(record, _CANCEL_PATIENCE)
+        kept = await self._daemon.commit.commit(record, _CANCEL_TIMEOUT)
         if isinstance(kept, Ok):
             return Ack()
-        unsure = kept == Err(LogFailure.ANSWER_LOST)
+        uncertain = kept == Err(LogFailure.ANSWER_LOST)
         return Refusal(
             code=RefusalCode.LOG_DOWN,
-            detail='the platform has not kept the cancellation in time',
-            verdict=Verdict.MAY_HAVE_RUN if unsure else Verdict.NOT_RUN,
+            detail='the platform log did not commit the cancellation in time',
+            verdict=Verdict.MAY_HAVE_RUN if uncertain else Verdict.NOT_RUN,
             retry_after=_LOG_RETRY,
         )
 
     async def tell_owners(self, ended: list[TaskReport]) -> None:
-        """Pass ends of tasks on to the schedulers that own their jobs."""
+        """Forward the ends of tasks to the schedulers that own their jobs."""
         by_witness: dict[WorkerId, list[TaskReport]] = {}
         for report in ended:
             entry = self._daemon.book.entry_by_job.get(report.job)
@@ -165,46 +165,46 @@
         for witness, reports in by_witness.items():
             await self._ask_owner(witness, TasksEnded(tasks=reports))
 
-    async def _acknowledge(self, spec: JobSpec, end: Seconds) -> Message:
-        """Tell the caller that a kept job is accepted, once it surely is.
+    async def _acknowledge(self, spec: JobSpec, deadline: Seconds) -> Message:
+        """Acknowledge a committed job once its acceptance is certain.
 
-        Its witnesses may be silent for a moment, or be listed to the issuer of
-        the key only, so they are looked at until the caller's patience ends.
+        Its witnesses may be unresponsive for a moment, or so far be listed
+        only to the issuer of the key, so they are polled until the deadline.
         """
-        rest = max(end - self._daemon.ports.clock(), _LEAST_LOOK)
+        remaining = max(deadline - self._daemon.ports.clock(), _MIN_POLL_TIME)
         try:
-            async with asyncio.timeout(rest):
-                return await self._look_until_known(spec)
+            async with asyncio.timeout(remaining):
+                return await self._poll_acceptance(spec)
         except TimeoutError:
-            _log.info('kept job is not acknowledged yet', job=spec.key)
+            _log.info('committed job is not acknowledged yet', job=spec.key)
         return Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail='the job is kept, but its witnesses do not answer yet',
+            detail='the job is committed, but its witnesses do not respond yet',
             verdict=Verdict.MAY_HAVE_RUN,
             retry_after=_WITNESS_RETRY,
         )
 
-    async def _look_until_known(self, spec: JobSpec) -> Message:
+    async def _poll_acceptance(self, spec: JobSpec) -> Message:
         while True:
-            answer = await self._look(spec)
+            answer = await self._check_acceptance(spec)
             if answer is not None:
                 return answer
-            await asyncio.sleep(_LOOK_PAUSE)
+            await asyncio.sleep(_POLL_INTERVAL)
 
-    async def _look(self, spec: JobSpec) -> Message | None:
-        """Return what the caller is told of a kept job, if that is sure.
+    async def _check_acceptance(self, spec: JobSpec) -> Message | None:
+        """Return the answer for a committed job, or None if uncertain.
 
-        An earlier call with its key may have settled the job's claim: then
-        its owner drops it, though its record is in the log. So neither the
-        record nor a move nor an end shows that the job is accepted.
+        An earlier call with its key may have settled the job's claim. Its
+        owner then drops the job, though its record is in the log. So neither
+        the record nor a move nor an end proves that the job is accepted.
         """
         entry = self._daemon.book.entry_by_job.get(spec.key)
         if entry is not None and entry.ended is not None:
-            return self._tell_ended(entry.ended)
+            return self._report_ended(entry.ended)
         if entry is not None and entry.former:
-            taken_up = await self._daemon.claims.is_taken_up(entry)
-            return self._status(spec.key) if taken_up else None
-        state = await self._take_up_at_both(spec)
+            recovered = await self._daemon.claims.is_recovered(entry)
+            return self._status(spec.key) if recovered else None
+        state = await self._claim_at_both(spec)
         if state is TaskState.MARKER:
             return _accepted(spec) if entry is None else self._status(spec.key)
         if state is TaskState.NEVER_STARTED:
@@ -216,27 +216,27 @@
             )
         return None
 
-    def _tell_ended(self, ended: JobEnded) -> Message:
-        """Return the end of a job, or the refusal if it was dropped for one."""
+    def _report_ended(self, ended: JobEnded) -> Message:
+        """Return the status of an ended job, or a refusal if it was refused."""
         if ended.refused:
             return Refusal(code=RefusalCode.INVALID, detail=_REFUSED_BEFORE)
         return self._status(ended.job)
 
-    async def _take_up_at_both(self, spec: JobSpec) -> TaskState | None:
-        """Return ``MARKER``, or the first other state that a witness has."""
+    async def _claim_at_both(self, spec: JobSpec) -> TaskState | None:
+        """Return ``MARKER``, or the first other state at a witness."""
         state: TaskState | None = None
         for witness in _witnesses(spec):
-            state = await self._take_up(witness, spec)
+            state = await self._claim_at(witness, spec)
             if state is not TaskState.MARKER:
                 break
         return state
 
-    async def _take_up(
+    async def _claim_at(
         self,
         witness: Witness,
         spec: JobSpec,
     ) -> TaskState | None:
-        """Put the job's claim at a witness, unless it was settled there."""
+        """Store the job's claim at a witness and return its state there."""
         marker = TaskSpec(
             key=job_claim(spec.key),
             tenant=spec.tenant,
@@ -251,7 +251,7 @@
         answer = await self._daemon.ports.transport.call(
             listed.address,
             KeepMarkers(tasks=[marker], boot=witness.boot),
-            _TIMEOUT,
+            _CALL_TIMEOUT,
         )
         kept = answer.ok()
         return kept.tasks[0].state if isinstance(kept, TaskReports) else None
@@ -262,7 +262,7 @@
         return status or _accepted(entry.spec)
 
     def _check(self, spec: JobSpec) -> Declined | None:
-        """Find out early that a job can never run."""
+        """Check early whether a job can ever run."""
         engine = self._daemon.engine
         work_class = engine.find_class(spec.class_name)
         gang = work_class is not None and work_class.kind is WorkKind.GANG
@@ -282,10 +282,11 @@
         detail: str,
         retry_after: Seconds,
     ) -> Message:
-        """Refuse a job for good, unless it was taken up before.
+        """Refuse a job permanently, unless it was accepted before.
 
-        Both witnesses must say that it never will be; its record may be in
-        the log, from this call or an earlier one.
+        It has certainly not run only if both witnesses report that its claim
+        is settled, as this call or an earlier one may have put its record
+        into the log.
         """
         claim = job_claim(spec.key)
         states = {
@@ -312,7 +313,7 @@
         answer = await self._daemon.ports.transport.call(
             listed.address,
             SettleTasks(keys=[claim], boot=witness.boot),
-            _TIMEOUT,
+            _CALL_TIMEOUT,
         )
         if not isinstance(answer, Ok):
             return None
@@ -326,7 +327,7 @@
 
 
 def _witnesses(spec: JobSpec) -> tuple[Witness, Witness]:
-    """Return both workers that must keep the job's claim for it to run."""
+    """Return both workers that must store the job's claim before it runs."""
     return (
         Witness(spec.witness, spec.witness_boot),
         Witness(spec.backup, spec.backup_boot),
--- a/orchidrail/scheduler/job_mover.py
+++ b/orchidrail/scheduler/job_mover.py
@@ -1,4 +1,4 @@
-"""Gives jobs new witnesses when an old one is gone, restarted or leaving."""
+"""Moves jobs off witnesses that are lost, restarted or leaving."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     from orchidrail.scheduler.lease_keeper import LeaseKeeper
     from orchidrail.scheduler.ports import Ports
 
-_INTERVAL: Seconds = 1
-_COMMIT_PATIENCE: Seconds = 10
-_BACKUPS_TRIED = 4
+_CHECK_INTERVAL: Seconds = 1
+_COMMIT_TIMEOUT: Seconds = 10
+_MAX_BACKUP_PROBES = 4
 _log = structlog.get_logger()
 
 
 class JobMover:
-    """Moves open jobs whose witnesses can't serve any longer.
+    """Moves open jobs whose witnesses are no longer usable.
 
-    The log's order decides between several movers; a job that is moved twice
-    loses nothing.
+    If several schedulers move a job, the order of the log decides; moving a
+    job twice is harmless.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         commit: GroupCommit,
         boots: BootBook,
     ) -> None:
-        """Start with no move under way."""
+        """Start with no move in progress."""
         self._boots = boots
         self._ports = ports
         self._book = book
@@ -59,17 +59,17 @@
         self._moving: dict[JobId, asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Look for jobs to move until cancelled."""
+        """Check for jobs to move until cancelled."""
         while True:
-            await asyncio.sleep(_INTERVAL)
+            await asyncio.sleep(_CHECK_INTERVAL)
             for job in tuple(self._book.open_jobs):
                 entry = self._book.entry_by_job[job]
                 self._runner.take_up_job(entry)
                 await self._verify(entry)
-                self._consider(entry)
+                self._move_if_needed(entry)
 
     async def choose_backup(self, witness: WorkerId) -> Witness | None:
-        """Return another worker, in another rack if there is one."""
+        """Return a worker other than the witness, preferring other racks."""
         by_worker = self._fleet.by_worker
         rack = by_worker[witness].rack if witness in by_worker else ''
         usable = [
@@ -79,14 +79,14 @@
         ]
         self._ports.random.shuffle(usable)
         usable.sort(key=lambda worker: by_worker[worker].rack == rack)
-        for worker in usable[:_BACKUPS_TRIED]:
+        for worker in usable[:_MAX_BACKUP_PROBES]:
             backup = await self._boots.ask(worker)
             if backup is not None:
                 return backup
         return None
 
     async def _verify(self, entry: JobEntry) -> None:
-        """Find out from a held witness whether it was restarted."""
+        """Check with a held witness whether it was restarted."""
         worker, boot = entry.witness
         held = self._keeper.authorised(worker)
         if held is None or held.boot == boot:
@@ -94,31 +94,33 @@
         if not self._boots.is_lost(worker, boot):
             await self._boots.verify(worker, boot)
 
-    def _consider(self, entry: JobEntry) -> None:
+    def _move_if_needed(self, entry: JobEntry) -> None:
         job = entry.spec.key
-        if job in self._moving or not self._must_move(entry):
+        if job in self._moving or not self._needs_move(entry):
             return
-        if not self._is_mine(entry):
+        if not self._is_responsible(entry):
             return
         moving = asyncio.create_task(self._move(entry))
         self._moving[job] = moving
         moving.add_done_callback(lambda _: self._moving.pop(job, None))
 
-    def _must_move(self, entry: JobEntry) -> bool:
-        return self._is_spent(entry.witness) or self._is_spent(entry.backup)
+    def _needs_move(self, entry: JobEntry) -> bool:
+        return self._is_unusable(entry.witness) or self._is_unusable(
+            entry.backup
+        )
 
-    def _is_spent(self, witness: Witness) -> bool:
+    def _is_unusable(self, witness: Witness) -> bool:
         if self._boots.is_lost(witness.worker, witness.boot):
             return True
         listed = witness.worker in self._fleet.by_worker
         return listed and self._fleet.is_leaving(witness.worker)
 
-    def _is_mine(self, entry: JobEntry) -> bool:
-        """Tell whether it is for this scheduler to move the job."""
+    def _is_responsible(self, entry: JobEntry) -> bool:
+        """Return whether this scheduler is responsible for moving the job."""
         if self._keeper.authorised(entry.witness.worker) is not None:
             return True
-        able = self._members.holding(self._ports.clock())
-        chosen = preferred_holder(WorkerId(entry.spec.key), able)
+        holding_members = self._members.holding(self._ports.clock())
+        chosen = preferred_holder(WorkerId(entry.spec.key), holding_members)
         return chosen == self._members.me.name
 
     def _choose_witness(self) -> HeldWorker | None:
@@ -149,11 +151,11 @@
             backup_boot=backup.boot,
         )
         _log.info(
-            'job moves',
+            'moving job',
             job=moved.job,
             generation=moved.generation,
             witness=moved.witness,
         )
-        await self._commit.commit(encode_record(moved), _COMMIT_PATIENCE)
-        # Give the fold time to tell of it before the job is looked at again.
-        await asyncio.sleep(_INTERVAL)
+        await self._commit.commit(encode_record(moved), _COMMIT_TIMEOUT)
+        # Leaves time to read the move from the log before the next check.
+        await asyncio.sleep(_CHECK_INTERVAL)
--- a/orchidrail/scheduler/job_runner.py
+++ b/orchidrail/scheduler/job_runner.py
@@ -1,9 +1,9 @@
 """Runs the jobs whose witness this scheduler holds.
 
-Each group of tasks is run by one asyncio task, step by step: place, claim at
-the witness, start, wait for the end. The claim is made once by the worker, so
-it alone decides which scheduler may start an attempt; a new owner reads the
-claims back and settles each before it makes another attempt.
+One asyncio task runs each group of tasks: it places them, claims the attempt
+at the witness, starts the tasks and waits for their ends. The worker accepts
+a claim only once, so the claim decides which scheduler may start an attempt.
+A new owner reads the claims and settles each before it makes another attempt.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 from orchidrail.jobs.records import JobEnded, encode_record
 from orchidrail.scheduler.held_worker import StartFailure, is_refused
 from orchidrail.scheduler.job_claims import (
-    DisownedError,
-    JobOverError,
+    JobEndedError,
+    OwnershipLostError,
     RefusedMarkerError,
 )
 from orchidrail.types import (
@@ -56,27 +56,28 @@
     from orchidrail.scheduler.zone_calls import ZoneCalls
     from orchidrail.settings import SchedulerSettings
 
-#: Between two questions about a task that nobody has told of.
-_POLL: Seconds = 2
-#: Between two tries while places are declined or the log is down.
-_BACK_OFF: Seconds = 0.5
-_COMMIT_PATIENCE: Seconds = 30
-#: Before the second attempt after a failure; doubled with each more.
-_FAILED_PAUSE: Seconds = 2
-#: Workers in a row that may end under a task: one that ends its workers would
-#: be started for ever, as their ends are told by nobody. Where 30% of them end
-#: each 3 s, one in 200 tasks of 3 s loses five in a row.
-_MOST_LOSSES = 5
-_COUNTED = frozenset((OutcomeAction.FAIL, OutcomeAction.RETRY_COUNTED))
+#: Between two queries for a task whose end was not reported.
+_POLL_INTERVAL: Seconds = 2
+#: Between two tries while placement is declined or a task is stopping.
+_RETRY_INTERVAL: Seconds = 0.5
+_COMMIT_TIMEOUT: Seconds = 30
+#: Base of the exponential backoff, which doubles with each failure.
+_FAILURE_BACKOFF: Seconds = 2
+#: Consecutive workers that a task may lose. A task that crashes its workers
+#: would otherwise be retried forever, as a crashed worker reports no failure.
+#: If 30% of the workers end every 3 s, one in 200 tasks of 3 s loses five in
+#: a row.
+_MAX_LOSSES = 5
+_COUNTED_ACTIONS = frozenset((OutcomeAction.FAIL, OutcomeAction.RETRY_COUNTED))
 _log = structlog.get_logger()
 
 
 class JobFailedError(Exception):
-    """A group has failed for good; the text says why."""
+    """A group has failed permanently; the message gives the reason."""
 
 
 class JobRunner:
-    """Owner of jobs, as long as it holds their witnesses."""
+    """Owns jobs as long as the scheduler holds their witnesses."""
 
     def __init__(
         self,
@@ -90,7 +91,7 @@
         claims: JobClaims,
         boots: BootBook,
     ) -> None:
-        """Start with no job."""
+        """Start without jobs."""
         self.owned_by_job: dict[JobId, OwnedJob] = {}
         self._ports = ports
         self._settings = settings
@@ -110,13 +111,13 @@
                 self._own(entry)
 
     def take_up_job(self, entry: JobEntry) -> None:
-        """Own a job that the log just told of, if its witness is held."""
+        """Own a job read from the log if its witness is held."""
         held = self._keeper.authorised(entry.witness.worker)
         if held is not None and held.boot == entry.witness.boot:
             self._own(entry)
 
     def disown(self, held: HeldWorker) -> None:
-        """Give up the jobs of a witness whose lease was lost."""
+        """Release ownership of the jobs of a witness whose lease is lost."""
         lost = [
             job
             for job, owned in self.owned_by_job.items()
@@ -126,7 +127,7 @@
             self._stop(job)
 
     def note_change(self, job: JobId) -> None:
-        """Look at a job whose entry in the log's fold has changed."""
+        """Apply a change of a job's entry that was read from the log."""
         entry = self._book.entry_by_job[job]
         owned = self.owned_by_job.get(job)
         if entry.ended is not None:
@@ -140,14 +141,14 @@
             owned.cancelling.set()
 
     def take_ends(self, tasks: list[TaskReport]) -> list[TaskReport]:
-        """Deliver ends to their jobs; return those of others' jobs."""
+        """Deliver ends to owned jobs; return those of other owners' jobs."""
         others = []
         for report in tasks:
-            waiting = self._end_by_task.get(report.key)
+            end_future = self._end_by_task.get(report.key)
             if report.state not in FINAL_TASK_STATES:
                 continue
-            if waiting is not None and not waiting.done():
-                waiting.set_result(report)
+            if end_future is not None and not end_future.done():
+                end_future.set_result(report)
             elif report.job and report.job not in self.owned_by_job:
                 others.append(report)
         return others
@@ -171,14 +172,14 @@
         )
 
     def cancel(self, job: JobId) -> bool:
-        """Cancel an owned job; return False if it isn't owned here."""
+        """Cancel an owned job; return whether it is owned here."""
         owned = self.owned_by_job.get(job)
         if owned is not None:
             owned.cancelling.set()
         return owned is not None
 
     async def close(self) -> None:
-        """Stop running jobs; their tasks go on at their workers."""
+        """Stop running jobs; their tasks continue at their workers."""
         tasks = [
             owned.task
             for owned in self.owned_by_job.values()
@@ -207,16 +208,16 @@
             owned.task.cancel()
 
     async def _run(self, owned: OwnedJob) -> None:
-        """Run a job to its end and have the end kept."""
+        """Run a job to its end and commit the end to the log."""
         try:
             ended = await self._run_groups(owned)
             await self._keep_end(owned, ended)
-        except (DisownedError, JobOverError):
-            # It is taken up again if it is still open and still ours.
+        except (OwnershipLostError, JobEndedError):
+            # It is owned again later if it is open and its witness is held.
             self._stop(owned.entry.spec.key)
 
     async def _run_groups(self, owned: OwnedJob) -> JobEnded:
-        await self._recall(owned)
+        await self._restore_attempts(owned)
         groups = asyncio.gather(
             *(self._run_group(owned, group) for group in owned.groups),
         )
@@ -239,8 +240,8 @@
                 await groups
         return _ended(owned, JobState.DONE, '')
 
-    async def _recall(self, owned: OwnedJob) -> None:
-        """Take up earlier attempts, unless the job was refused."""
+    async def _restore_attempts(self, owned: OwnedJob) -> None:
+        """Restore earlier attempts, unless the job was refused."""
         try:
             claims = await self._claims.recover(owned.entry)
             confirmed = await self._claims.confirm(owned.entry)
@@ -249,7 +250,7 @@
         owned.recall(claims)
         if not confirmed:
             await self._claims.note_refused(owned.entry)
-            owned.detail = 'refused to its caller before it was kept'
+            owned.detail = 'refused to its caller before it was committed'
             owned.refused = True
             owned.cancelling.set()
 
@@ -264,17 +265,21 @@
             await self._finish_attempt(owned, group, ask_first=False)
 
     async def _back_off(self, group: TaskGroup) -> None:
-        """Wait longer after each failure: a bad worker may be found out."""
+        """Back off after failures, so that a bad worker can be detected."""
         if group.failures:
-            longest = _FAILED_PAUSE * 2**group.failures
-            await asyncio.sleep(jitter(self._ports.random, longest))
+            max_delay = _FAILURE_BACKOFF * 2**group.failures
+            await asyncio.sleep(jitter(self._ports.random, max_delay))
 
     def _check_claims(self, owned: OwnedJob, group: TaskGroup) -> None:
-        """Give up a group that may have run where nobody knows of."""
+        """Fail a group that may have run at an unknown worker.
+
+        Without claims, an attempt can be repeated only if the work class is
+        repeatable.
+        """
         work_class = self._placer.work_class(owned.entry.spec.class_name)
         repeatable = work_class is not None and work_class.repeatable
         if owned.entry.claims_lost and not group.notes and not repeatable:
-            raise JobFailedError('may have run: both of its witnesses are gone')
+            raise JobFailedError('may have run: both of its witnesses are lost')
 
     async def _start_attempt(self, owned: OwnedJob, group: TaskGroup) -> None:
         attempt = owned.next_attempt(group)
@@ -307,7 +312,7 @@
                 owned.detail = ''
                 return outcome
             self._note_declined(owned, outcome)
-            await asyncio.sleep(_BACK_OFF)
+            await asyncio.sleep(_RETRY_INTERVAL)
 
     def _note_declined(self, owned: OwnedJob, declined: Declined) -> None:
         owned.detail = declined.detail
@@ -361,8 +366,8 @@
             await self._settle(place.note)
 
     async def _settle(self, note: ClaimNote) -> None:
-        """Have a task that was not started never be started."""
-        report = await self._ask(note)
+        """Settle a task that was not started, so that it never starts."""
+        report = await self._query_task(note)
         if report is not None:
             self.take_ends([report])
 
@@ -380,7 +385,7 @@
         *,
         ask_first: bool,
     ) -> None:
-        """Wait for the end of a claimed attempt and apply the rules."""
+        """Wait for the end of a claimed attempt and apply its outcome."""
         group.running = True
         owned.state = JobState.RUNNING
         reports = await asyncio.gather(
@@ -390,15 +395,15 @@
             ),
         )
         group.running = False
-        # Claims that a former owner made only in part were never started.
+        # An attempt that a previous owner claimed only in part never started.
         missing = len(reports) < group.size
         endings = [outcome_of(report) for report in reports]
         ending = worst_outcome(
             [*endings, AttemptOutcome.STOPPED] if missing else endings
         )
-        self._apply(owned, group, ending, reports)
+        self._apply_outcome(owned, group, ending, reports)
 
-    def _apply(
+    def _apply_outcome(
         self,
         owned: OwnedJob,
         group: TaskGroup,
@@ -408,17 +413,17 @@
         work_class = self._placer.work_class(owned.entry.spec.class_name)
         repeatable = work_class is not None and work_class.repeatable
         allowed = 1 if work_class is None else work_class.max_attempts
-        follows = ACTION_BY_OUTCOME[ending, repeatable]
-        if follows is OutcomeAction.FAIL_MAY_HAVE_RUN:
-            raise JobFailedError('may have run: its worker is gone')
+        action = ACTION_BY_OUTCOME[ending, repeatable]
+        if action is OutcomeAction.FAIL_MAY_HAVE_RUN:
+            raise JobFailedError('may have run: its worker is lost')
         group.count_loss(ending)
-        if group.losses >= _MOST_LOSSES:
-            raise JobFailedError(f'{group.losses} workers ended under a task')
-        if follows in _COUNTED:
+        if group.losses >= _MAX_LOSSES:
+            raise JobFailedError(f'a task lost {group.losses} workers in a row')
+        if action in _COUNTED_ACTIONS:
             group.count_failure(reports)
-        if follows is OutcomeAction.FAIL or group.failures >= allowed:
+        if action is OutcomeAction.FAIL or group.failures >= allowed:
             raise JobFailedError(f'a task failed {group.failures} time(s)')
-        group.take_reports(reports, done=follows is OutcomeAction.KEEP)
+        group.take_reports(reports, done=action is OutcomeAction.KEEP)
 
     async def _wait_for_end(
         self,
@@ -426,33 +431,33 @@
         *,
         ask_first: bool,
     ) -> TaskReport | None:
-        """Return the report of a task's end, or None if its worker is gone.
+        """Return the report of a task's end, or None if its worker is lost.
 
-        Holders tell of ends; a question now and then makes up for a loss.
+        Lease holders report ends; periodic queries cover lost reports.
         """
-        waiting = self._expect(note.task)
+        end_future = self._expect(note.task)
         if not ask_first:
-            await asyncio.wait({waiting}, timeout=_POLL)
+            await asyncio.wait({end_future}, timeout=_POLL_INTERVAL)
         try:
             while True:
-                report = await self._ask(note)
+                report = await self._query_task(note)
                 if report is not None and report.state in FINAL_TASK_STATES:
                     return report
                 if self._boots.is_lost(note.worker, note.boot):
                     return None
-                await asyncio.wait({waiting}, timeout=_POLL)
+                await asyncio.wait({end_future}, timeout=_POLL_INTERVAL)
         finally:
             self._end_by_task.pop(note.task, None)
 
-    async def _ask(self, note: ClaimNote) -> TaskReport | None:
-        waiting = self._end_by_task.get(note.task)
-        if waiting is not None and waiting.done():
-            return waiting.result()
+    async def _query_task(self, note: ClaimNote) -> TaskReport | None:
+        end_future = self._end_by_task.get(note.task)
+        if end_future is not None and end_future.done():
+            return end_future.result()
         settled = await self._calls.settle(note, [note.task])
         if isinstance(settled, Ok):
             return settled.ok_value[0]
         if settled.err_value is RefusalCode.UNKNOWN:
-            # The worker itself says so.
+            # The worker itself reports that it was restarted.
             self._boots.note_restarted(note.worker, note.boot)
         return None
 
@@ -462,13 +467,15 @@
         groups: asyncio.Future[list[None]],
     ) -> JobEnded:
         groups.cancel()
-        with suppress(asyncio.CancelledError, JobFailedError, DisownedError):
+        with suppress(
+            asyncio.CancelledError, JobFailedError, OwnershipLostError
+        ):
             await groups
         await self._stop_groups(owned)
         return _ended(owned, JobState.CANCELLED, owned.detail or 'cancelled')
 
     async def _stop_groups(self, owned: OwnedJob) -> None:
-        """Stop what runs of a job and wait until it has stopped."""
+        """Stop the running tasks of a job and wait until they have stopped."""
         notes = [
             note
             for group in owned.groups
@@ -479,20 +486,20 @@
 
     async def _stop_task(self, note: ClaimNote) -> None:
         while True:
-            report = await self._ask(note)
+            report = await self._query_task(note)
             ended = report is not None and report.state in FINAL_TASK_STATES
             if ended or self._boots.is_lost(note.worker, note.boot):
                 return
             await self._calls.control(note, stop=[note.task])
-            await asyncio.sleep(_BACK_OFF)
+            await asyncio.sleep(_RETRY_INTERVAL)
 
     async def _keep_end(self, owned: OwnedJob, ended: JobEnded) -> None:
-        """Have the end kept by the log; then let the workers forget."""
+        """Commit the end to the log; then delete the job's state at workers."""
         owned.state = ended.state
         owned.detail = ended.detail
         record = encode_record(ended)
         while True:
-            kept = await self._commit.commit(record, _COMMIT_PATIENCE)
+            kept = await self._commit.commit(record, _COMMIT_TIMEOUT)
             if isinstance(kept, Ok):
                 break
         await self._claims.note_end(owned.entry)
--- a/orchidrail/scheduler/tests/job_case.py
+++ b/orchidrail/scheduler/tests/job_case.py
@@ -55,7 +55,7 @@
 
 
 class JobCase(AsyncTestCase):
-    """A test case with a zone of one scheduler or more, in virtual time."""
+    """Test case with one or more schedulers of a zone in virtual time."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -63,8 +63,8 @@
         self.daemons = [self.zone.daemon]
         self._running: list[asyncio.Task[None]] = []
 
-    def play(self, work: Coroutine[None, None, ReturnT]) -> ReturnT:
-        """Run a scenario in virtual time; end what it left running."""
+    def run_scenario(self, work: Coroutine[None, None, ReturnT]) -> ReturnT:
+        """Run a scenario in virtual time, then cancel its background tasks."""
 
         async def scenario() -> ReturnT:
             try:
@@ -78,27 +78,27 @@
         return run_in_virtual_time(scenario())
 
     def run_loop(self, loop: Coroutine[None, None, None]) -> None:
-        """Run one of a daemon's loops until the scenario is over."""
+        """Run one of a daemon's loops until the scenario ends."""
         self._running.append(asyncio.create_task(loop))
 
     def run_log(self) -> None:
-        """Let the daemon write the log and read it."""
+        """Run the daemon's loops that write and read the log."""
         self.run_loop(self.zone.daemon.commit.run())
         self.run_loop(self.zone.daemon.jobs_follower.run())
 
-    def tell(
+    def apply_records(
         self,
         *records: JobRecord,
         daemon: SchedulerDaemon | None = None,
     ) -> JobEntry:
-        """Have a daemon's fold tell of records at once."""
+        """Apply records to a daemon's job state, bypassing the log."""
         payload = msgspec.json.encode(list(map(encode_record, records)))
         book = (daemon or self.zone.daemon).book
         book.apply(LogRecord(Offset(0), 0, payload.decode()))
         return book.entry_by_job[JOB]
 
-    async def next_owner(self) -> SchedulerDaemon:
-        """Have another scheduler hold all workers."""
+    async def start_next_owner(self) -> SchedulerDaemon:
+        """Start another scheduler that acquires all workers."""
         await self.zone.daemon.runner.close()
         self.zone.clock.now += TTL
         other = self.zone.start_daemon('s-2')
@@ -107,7 +107,7 @@
         return other
 
     def refuse_at(self, *workers: str) -> None:
-        """Settle the job's claim, as a refusal of it does."""
+        """Settle the job's claim at workers, as a refusal does."""
         for worker in workers:
             machine = self.zone.machine_by_name[WorkerId(worker)]
             machine.settle([job_claim(JOB)])
--- a/orchidrail/scheduler/tests/small_zone.py
+++ b/orchidrail/scheduler/tests/small_zone.py
@@ -1,4 +1,4 @@
-"""A zone of one scheduler's parts and a few worker machines, for tests."""
+"""A zone of one scheduler and a few simulated workers, for tests."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class Clock:
-    """A clock that tests set."""
+    """A clock that tests set by hand, in seconds."""
 
     def __init__(self) -> None:
         self.now: Seconds = 100
@@ -48,7 +48,7 @@
 
 
 class FakeServices:
-    """The log and the instance list in memory."""
+    """In-memory log and instance list."""
 
     def __init__(self, log: LogMachine, instances: list[Instance]) -> None:
         self.log = log
@@ -99,7 +99,7 @@
         self.daemon = self.start_daemon('s-1')
 
     def start_daemon(self, name: str) -> SchedulerDaemon:
-        """Build a scheduler of the zone that knows the test's bundle."""
+        """Build a scheduler of the zone with the test's bundle."""
         settings = SchedulerSettings(
             name=name,
             zone=ZONE,
--- a/orchidrail/scheduler/tests/test_boot_book.py
+++ b/orchidrail/scheduler/tests/test_boot_book.py
@@ -1,4 +1,4 @@
-"""Tests of what is known of workers' starts."""
+"""Tests of tracking the incarnations of workers."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
         super().setUp()
         self.boots = SmallZone(workers=1).daemon.boots
 
-    def test_a_newer_start_than_the_one_known_is_not_lost(self) -> None:
+    def test_newer_incarnation_is_not_lost(self) -> None:
         self.boots.note(_WORKER, 'boot-1')
         self.assertFalse(self.boots.is_restarted(_WORKER, 'boot-2'))
 
-    def test_a_start_that_the_worker_left_behind_is_lost(self) -> None:
+    def test_previous_incarnation_is_lost(self) -> None:
         self.boots.note(_WORKER, 'boot-1')
         self.boots.note(_WORKER, 'boot-2')
         self.assertTrue(self.boots.is_restarted(_WORKER, 'boot-1'))
--- a/orchidrail/scheduler/tests/test_closed_workers.py
+++ b/orchidrail/scheduler/tests/test_closed_workers.py
@@ -1,4 +1,4 @@
-"""Tests of work at a scheduler whose workers take nothing new."""
+"""Tests of a scheduler whose workers accept no new work."""
 
 from __future__ import annotations
 
@@ -26,14 +26,14 @@
 )
 from orchidrail.wire.messages import Grant, GrantRequest, Message, Refusal
 
-#: How long the caller would wait for a place.
+#: Time that the caller waits for a place.
 _PATIENCE: Seconds = 8
-#: What passing on may take: gateways ask the next scheduler after it.
-_SOON: Seconds = 0.5
-#: Between the request and what closes the workers.
-_WAITED: Seconds = 0.3
-#: By when a task has been offered to other holders and started.
-_JOB_STARTED: Seconds = 2
+#: Time within which a redirect must come: gateways then ask the next one.
+_REDIRECT_TIMEOUT: Seconds = 0.5
+#: Between the request and the closing of the workers.
+_CLOSING_DELAY: Seconds = 0.3
+#: Time by which a task was offered to other holders and started.
+_JOB_START_TIME: Seconds = 2
 
 
 class ClosedWorkersCase(JobCase):
@@ -46,13 +46,13 @@
         self.daemons = [self.daemon]
 
     async def hold(self) -> None:
-        """Hold all workers and serve the queue; a peer has open ones."""
+        """Hold all workers and serve the queue; a peer has open workers."""
         await self.zone.hold()
         self.daemon.engine.peer_shapes = [CAPACITY]
         self.run_loop(self.daemon.dispatcher.run())
 
     async def grant(self, key: str = '') -> Message:
-        """Ask for room for one request; the patience is long."""
+        """Request a grant with a long timeout."""
         message = GrantRequest(
             tenant=TENANT,
             class_name=REQUEST,
@@ -63,108 +63,110 @@
         return await self.daemon.handle(message)
 
     async def fill(self) -> None:
-        """Take all room of the workers."""
+        """Allocate all capacity of the workers."""
         for _ in range(4):
             self.assertIsInstance(await self.grant(), Grant)
 
     def close_all(self) -> None:
-        """Have one worker leave and the other be handed over."""
+        """Mark one worker as leaving and hand over the other."""
         self.daemon.fleet.hint_leaving(WorkerId('w-0'))
-        self.hand_over('w-1')
+        self.begin_handover('w-1')
 
-    def hand_over(self, worker: str) -> None:
-        """Begin to hand a worker over, as steering does."""
+    def begin_handover(self, worker: str) -> None:
+        """Start the handover of a worker, as the lease keeper does."""
         held = self.zone.held(worker)
         held.handing_over_since = self.zone.clock()
         held.place.open = False
 
-    def assert_passed_on(self, answer: Message) -> None:
-        """Fail unless callers are told to ask another scheduler."""
+    def assert_redirected(self, answer: Message) -> None:
+        """Fail unless the answer redirects to another scheduler."""
         self.assertIsInstance(answer, Refusal)
         self.assertIs(RefusalCode.NOT_HOLDER, answer.code)
 
 
 class ClosedWorkersTest(ClosedWorkersCase):
-    """No worker that is held takes anything new."""
+    """No held worker accepts new work."""
 
-    def test_a_request_is_left_to_other_schedulers(self) -> None:
+    def test_request_is_redirected_to_other_schedulers(self) -> None:
         async def scenario() -> Message:
             await self.hold()
             self.close_all()
-            return await asyncio.wait_for(self.grant(), _SOON)
+            return await asyncio.wait_for(self.grant(), _REDIRECT_TIMEOUT)
 
-        self.assert_passed_on(self.play(scenario()))
+        self.assert_redirected(self.run_scenario(scenario()))
 
-    def test_a_request_that_waits_is_passed_on(self) -> None:
+    def test_waiting_request_is_redirected(self) -> None:
         async def scenario() -> Message:
             await self.hold()
             await self.fill()
             waiting = asyncio.create_task(self.grant())
-            await asyncio.sleep(_WAITED)
+            await asyncio.sleep(_CLOSING_DELAY)
             self.assertFalse(waiting.done())
             self.close_all()
-            return await asyncio.wait_for(waiting, _SOON)
+            return await asyncio.wait_for(waiting, _REDIRECT_TIMEOUT)
 
-        self.assert_passed_on(self.play(scenario()))
+        self.assert_redirected(self.run_scenario(scenario()))
 
-    def test_an_open_worker_that_is_too_small_holds_nothing_up(self) -> None:
-        """The closed one alone could ever take the request."""
+    def test_too_small_open_worker_does_not_delay_redirect(self) -> None:
+        """Only the closed worker is large enough for the request."""
 
         async def scenario() -> Message:
             await self.hold()
             self.daemon.fleet.hint_leaving(WorkerId('w-0'))
             small = self.zone.held('w-1').place.ledger
             small.capacity = Resources(8, 8, 0, slots=0, connections=8)
-            return await asyncio.wait_for(self.grant(), _SOON)
+            return await asyncio.wait_for(self.grant(), _REDIRECT_TIMEOUT)
 
-        self.assert_passed_on(self.play(scenario()))
+        self.assert_redirected(self.run_scenario(scenario()))
 
     def test_a_request_waits_while_a_worker_is_open(self) -> None:
         async def scenario() -> None:
             await self.hold()
             await self.fill()
-            self.hand_over('w-1')
+            self.begin_handover('w-1')
             waiting = asyncio.create_task(self.grant())
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_REDIRECT_TIMEOUT)
             self.assertFalse(waiting.done())
             waiting.cancel()
 
-        self.play(scenario())
+        self.run_scenario(scenario())
 
-    def test_a_request_waits_while_no_other_could_take_it(self) -> None:
-        """Callers that asked again and again would wear all out."""
+    def test_request_waits_while_no_peer_could_place_it(self) -> None:
+        """A redirect would only cause a load of repeated requests."""
 
         async def scenario() -> Message:
             await self.hold()
             self.daemon.engine.peer_shapes = []
             self.close_all()
             waiting = asyncio.create_task(self.grant())
-            await asyncio.sleep(_SOON)
+            await asyncio.sleep(_REDIRECT_TIMEOUT)
             self.assertFalse(waiting.done())
             self.daemon.engine.peer_shapes = [CAPACITY]
-            return await asyncio.wait_for(waiting, _SOON)
+            return await asyncio.wait_for(waiting, _REDIRECT_TIMEOUT)
 
-        self.assert_passed_on(self.play(scenario()))
+        self.assert_redirected(self.run_scenario(scenario()))
 
-    def test_a_keyed_request_is_left_to_the_next_holder(self) -> None:
-        """Its witness is handed over; the key isn't spent on the way."""
+    def test_keyed_request_is_left_to_the_next_holder(self) -> None:
+        """A redirect while its witness is handed over leaves the key usable."""
 
         async def scenario() -> Message:
             await self.hold()
             key = self.zone.key('w-1')
             self.close_all()
-            passed = await asyncio.wait_for(self.grant(key), _SOON)
-            self.assert_passed_on(passed)
+            redirected = await asyncio.wait_for(
+                self.grant(key), _REDIRECT_TIMEOUT
+            )
+            self.assert_redirected(redirected)
             held = self.zone.held('w-1')
             held.handing_over_since = None
             held.place.open = True
             return await self.grant(key)
 
-        self.assertIsInstance(self.play(scenario()), Grant)
+        self.assertIsInstance(self.run_scenario(scenario()), Grant)
 
 
 class OpenPeerTest(ClosedWorkersCase):
-    """Another scheduler holds a worker that is open."""
+    """Another scheduler holds an open worker."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -175,7 +177,7 @@
             reached[daemon.members.me.address] = daemon
 
     async def hold_one_each(self) -> None:
-        """Hold one worker at each scheduler; the first one's is leaving."""
+        """Hold one worker at each scheduler; the first worker is leaving."""
         for daemon in self.daemons:
             await daemon.fleet.refresh()
             self.run_loop(daemon.dispatcher.run())
@@ -184,33 +186,35 @@
         await self.peer.keeper.acquire(other)
         self.daemon.fleet.hint_leaving(mine.name)
         await self.peer.gossiper.exchange_with_all()
-        news = self.peer.members.exchange()
-        await self.daemon.handle(news)
+        gossip = self.peer.members.exchange()
+        await self.daemon.handle(gossip)
 
-    def test_a_request_is_passed_on_after_the_news_of_a_peer(self) -> None:
+    def test_request_is_redirected_after_a_gossip_exchange(self) -> None:
         async def scenario() -> Message:
             await self.hold_one_each()
-            return await asyncio.wait_for(self.grant(), _SOON)
+            return await asyncio.wait_for(self.grant(), _REDIRECT_TIMEOUT)
 
-        self.assert_passed_on(self.play(scenario()))
+        self.assert_redirected(self.run_scenario(scenario()))
 
-    def test_a_key_of_a_leaving_witness_is_granted_room_there(self) -> None:
-        """Only the witness's holder may claim the key."""
+    def test_key_of_a_leaving_witness_is_granted_a_place_at_a_peer(
+        self,
+    ) -> None:
+        """The key can be claimed only by the holder of its witness."""
 
         async def scenario() -> None:
             await self.hold_one_each()
             key = self.zone.key('w-0')
-            first = await asyncio.wait_for(self.grant(key), _SOON)
-            again = await asyncio.wait_for(self.grant(key), _SOON)
+            first = await asyncio.wait_for(self.grant(key), _REDIRECT_TIMEOUT)
+            again = await asyncio.wait_for(self.grant(key), _REDIRECT_TIMEOUT)
             self.assertIsInstance(first, Grant)
             self.assertEqual(WorkerId('w-1'), first.worker)
             self.assertEqual(first.task, again.task)
             self.assertEqual(first.worker, again.worker)
 
-        self.play(scenario())
+        self.run_scenario(scenario())
 
     def test_a_key_that_may_have_run_is_not_granted_again(self) -> None:
-        """It was granted room here before the worker was leaving."""
+        """It was granted a place here before the worker was leaving."""
 
         async def scenario() -> None:
             await self.hold_one_each()
@@ -219,12 +223,12 @@
             key = self.zone.key('w-0')
             first = await self.grant(key)
             place.open = False
-            again = await asyncio.wait_for(self.grant(key), _SOON)
+            again = await asyncio.wait_for(self.grant(key), _REDIRECT_TIMEOUT)
             self.assertEqual(WorkerId('w-0'), first.worker)
             self.assertEqual(first.worker, again.worker)
             self.assertEqual(first.task, again.task)
 
-        self.play(scenario())
+        self.run_scenario(scenario())
 
     def test_a_key_that_was_refused_stays_refused(self) -> None:
         async def scenario() -> Message:
@@ -233,14 +237,14 @@
             machine = self.zone.machine_by_name[WorkerId('w-0')]
             parsed = parse_key(key, time.time()).ok()
             machine.settle([parsed.claim])
-            return await asyncio.wait_for(self.grant(key), _SOON)
+            return await asyncio.wait_for(self.grant(key), _REDIRECT_TIMEOUT)
 
-        answer = self.play(scenario())
+        answer = self.run_scenario(scenario())
         self.assertIsInstance(answer, Refusal)
         self.assertIs(RefusalCode.INVALID, answer.code)
 
-    def test_an_unsure_claim_may_have_run(self) -> None:
-        """The witness has taken the claim, but its answer is lost."""
+    def test_claim_with_a_lost_answer_may_have_run(self) -> None:
+        """The witness has stored the claim, but its answer is lost."""
 
         async def scenario() -> Message:
             await self.hold_one_each()
@@ -248,23 +252,23 @@
             failing[Address('at:w-0')] = CallFailure.ANSWER_LOST
             return await asyncio.wait_for(
                 self.grant(self.zone.key('w-0')),
-                _SOON,
+                _REDIRECT_TIMEOUT,
             )
 
-        answer = self.play(scenario())
+        answer = self.run_scenario(scenario())
         self.assertIsInstance(answer, Refusal)
         self.assertIs(Verdict.MAY_HAVE_RUN, answer.verdict)
 
-    def test_a_job_of_a_leaving_witness_is_started_there(self) -> None:
-        """Its task waits here, too, while it is offered to the other."""
+    def test_job_of_a_leaving_witness_is_started_at_a_peer(self) -> None:
+        """The task is queued here while it is offered to the peer."""
 
         async def scenario() -> None:
             await self.hold_one_each()
             self.run_log()
-            self.tell(JobAccepted(job=SPEC))
-            await asyncio.sleep(_JOB_STARTED)
+            self.apply_records(JobAccepted(job=SPEC))
+            await asyncio.sleep(_JOB_START_TIME)
             journal = self.zone.machine_by_name[WorkerId('w-1')].journal
             started = [entry.job for entry in journal if entry.event == 'start']
             self.assertEqual([JOB], started)
 
-        self.play(scenario())
+        self.run_scenario(scenario())
--- a/orchidrail/scheduler/tests/test_held_worker.py
+++ b/orchidrail/scheduler/tests/test_held_worker.py
@@ -1,4 +1,4 @@
-"""Tests of what goes to a worker under its lease."""
+"""Tests of calls to a worker under its lease."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
         machine = next(iter(self.zone.machine_by_name.values()))
         self.assertEqual([], machine.journal)
 
-    def test_a_late_copy_of_a_start_runs_nothing_after_forgetting(self) -> None:
+    def test_late_duplicate_start_of_a_forgotten_task_is_refused(self) -> None:
         async def scenario() -> TaskReports:
             await self.zone.hold()
             held = self.zone.held()
--- a/orchidrail/scheduler/tests/test_job_runner.py
+++ b/orchidrail/scheduler/tests/test_job_runner.py
@@ -1,4 +1,4 @@
-"""Tests of running jobs: claims, take-overs, failures."""
+"""Tests of running jobs: claims, takeovers, failures."""
 
 from __future__ import annotations
 
@@ -41,13 +41,13 @@
 )
 
 
-def _tell(book: JobBook, offset: int, *records: str) -> None:
+def _apply_records(book: JobBook, offset: int, *records: str) -> None:
     payload = msgspec.json.encode(list(records)).decode()
     book.apply(LogRecord(Offset(offset), 0, payload))
 
 
 def _accept(daemon: SchedulerDaemon, spec: JobSpec = _SPEC) -> None:
-    _tell(daemon.book, 0, encode_record(JobAccepted(job=spec)))
+    _apply_records(daemon.book, 0, encode_record(JobAccepted(job=spec)))
 
 
 def _fields(spec: JobSpec) -> dict[str, object]:
@@ -55,7 +55,7 @@
 
 
 def _repeatable() -> Bundle:
-    """Return the test's bundle, with jobs that may be run again."""
+    """Return the test's bundle with repeatable jobs."""
     known = bundle()
     classes = {
         name: msgspec.structs.replace(found, repeatable=True)
@@ -70,12 +70,12 @@
         self.zone = SmallZone(workers=3)
 
     async def until(self, condition) -> None:  # type: ignore[no-untyped-def]
-        """Let tasks run until a condition holds."""
+        """Yield to other asyncio tasks until a condition holds."""
         while not condition():
             await asyncio.sleep(0.005)
 
     def starts(self) -> list[str]:
-        """Return the tasks that really were started, at any worker."""
+        """Return the tasks that were started at any worker."""
         return [
             entry.task
             for machine in self.zone.machine_by_name.values()
@@ -84,7 +84,7 @@
         ]
 
     def running(self, daemon: SchedulerDaemon) -> bool:
-        """Tell whether a daemon's job runs."""
+        """Return whether a daemon runs the job."""
         owned = daemon.runner.owned_by_job.get(_JOB)
         return owned is not None and owned.state is JobState.RUNNING
 
@@ -96,7 +96,7 @@
             self.zone.clock.now += TTL
             other = self.zone.start_daemon('s-2')
             await self.zone.hold(other)
-            # The log's fold catches up only after the lease was acquired.
+            # The new owner reads the log only after it acquired the lease.
             _accept(other)
             await self.until(lambda: self.running(other))
             await self.zone.daemon.runner.close()
@@ -105,8 +105,8 @@
         self.run_async(scenario())
         self.assertEqual(['j#0#0.1'], self.starts())
 
-    def test_a_task_that_ends_its_workers_is_given_up(self) -> None:
-        """A crashed worker tells of no failure that could be counted."""
+    def test_task_that_crashes_its_workers_fails_permanently(self) -> None:
+        """A crashed worker reports no failure that could be counted."""
 
         async def scenario() -> None:
             await self.zone.hold()
@@ -118,12 +118,14 @@
             await daemon.runner.close()
             daemon.engine.use_bundle(_repeatable(), ZONE)
 
-            def lose() -> None:
-                daemon.runner._apply(owned, group, AttemptOutcome.LOST, [None])
+            def record_loss() -> None:
+                daemon.runner._apply_outcome(
+                    owned, group, AttemptOutcome.LOST, [None]
+                )
 
             for _ in range(4):
-                lose()
-            self.assertRaises(JobFailedError, lose)
+                record_loss()
+            self.assertRaises(JobFailedError, record_loss)
 
         self.run_async(scenario())
 
@@ -141,7 +143,7 @@
                 backup=WorkerId('w-0'),
                 backup_boot='b',
             )
-            _tell(daemon.book, 1, encode_record(moved))
+            _apply_records(daemon.book, 1, encode_record(moved))
             owned = daemon.runner.owned_by_job[_JOB]
             await self.until(lambda: owned.groups[0].running)
             self.assertEqual(1, owned.generation)
@@ -162,7 +164,7 @@
             backup=WorkerId('w-0'),
             backup_boot='b2',
         )
-        _tell(daemon.book, 1, encode_record(moved))
+        _apply_records(daemon.book, 1, encode_record(moved))
 
     def test_a_running_attempt_is_found_when_both_witnesses_are_lost(
         self,
@@ -180,8 +182,8 @@
         self.run_async(scenario())
         self.assertEqual(['j#0#0.1'], self.starts())
 
-    def test_what_can_not_be_found_is_not_run_again(self) -> None:
-        """Both witnesses and the task's worker have forgotten everything."""
+    def test_attempt_without_any_record_is_not_repeated(self) -> None:
+        """Both witnesses and the task's worker have lost all state of it."""
 
         async def scenario() -> str:
             await self.zone.hold()
@@ -202,7 +204,7 @@
         self.assertEqual(['j#0#0.1'], self.starts())
 
     def test_a_job_moves_when_its_witness_was_restarted(self) -> None:
-        """Its new holder never knew the start that the job names."""
+        """The new holder never knew the incarnation that the job names."""
 
         async def scenario() -> None:
             await self.zone.hold()
@@ -218,7 +220,9 @@
         self.run_async(scenario())
         self.assertEqual(1, self.zone.services.log.appends)
 
-    def test_an_owner_with_an_old_fold_does_not_run_an_ended_job(self) -> None:
+    def test_owner_with_a_stale_log_state_does_not_run_an_ended_job(
+        self,
+    ) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             daemon = self.zone.daemon
@@ -247,7 +251,7 @@
         self.assertEqual(['j#0#0.1'], self.starts())
 
     def test_a_job_refused_before_is_not_acknowledged(self) -> None:
-        """Its record is in the log all the same."""
+        """Its record is in the log nevertheless."""
 
         async def scenario() -> Message:
             await self.zone.hold()
--- a/orchidrail/scheduler/tests/test_lease_keeper.py
+++ b/orchidrail/scheduler/tests/test_lease_keeper.py
@@ -27,7 +27,7 @@
         self.keeper = self.zone.daemon.keeper
         self.machine = self.zone.machine_by_name[_WORKER]
 
-    def test_a_renewal_that_comes_too_late_gives_no_authority(self) -> None:
+    def test_late_renewal_gives_no_authority(self) -> None:
         async def scenario() -> bool:
             await self.zone.hold()
             held = self.zone.held()
@@ -40,7 +40,7 @@
 
         self.assertFalse(self.run_async(scenario()))
 
-    def test_a_second_holder_waits_for_the_lapse(self) -> None:
+    def test_second_holder_waits_for_lease_expiry(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             other = self.zone.start_daemon('s-2')
@@ -83,7 +83,7 @@
 
         self.run_async(scenario())
 
-    def test_an_end_that_was_missed_is_found_by_an_audit(self) -> None:
+    def test_missed_end_is_found_by_an_audit(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             held = self.zone.held()
@@ -95,7 +95,7 @@
             )
             await held.start(_SPEC)
             self.machine.finish(_SPEC.key)
-            # A copy of the next renewal comes first; its answer is lost.
+            # A duplicate of the next renewal arrives first; its answer is lost.
             await self.machine.handle(
                 RenewLease(
                     holder='s-1',
--- a/orchidrail/scheduler/tests/test_placer.py
+++ b/orchidrail/scheduler/tests/test_placer.py
@@ -1,4 +1,4 @@
-"""Tests of room that is kept for other schedulers."""
+"""Tests of reservations for other schedulers."""
 
 from __future__ import annotations
 
@@ -47,8 +47,8 @@
         message = StartReserved(task=_SPEC, token=reserved.token)
         return await self.zone.daemon.handle(message)
 
-    def test_late_copies_start_nothing(self) -> None:
-        """The task has ended and is forgotten when the copies come."""
+    def test_late_duplicates_start_nothing(self) -> None:
+        """The task has ended and is forgotten when duplicates arrive."""
 
         async def scenario() -> None:
             await self.zone.hold()
@@ -68,7 +68,7 @@
 
         self.run_async(scenario())
 
-    def test_a_copy_does_not_share_the_room_of_the_task(self) -> None:
+    def test_duplicate_does_not_share_the_allocation_of_the_task(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             reserved = await self.reserve()
@@ -79,7 +79,7 @@
 
         self.run_async(scenario())
 
-    def test_room_that_is_not_used_comes_back(self) -> None:
+    def test_unused_reservation_is_released(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             reserved = await self.reserve()
--- a/orchidrail/scheduler/tests/test_request_desk.py
+++ b/orchidrail/scheduler/tests/test_request_desk.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler's side of a request."""
+"""Tests of how the scheduler handles requests."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         self.run_async(scenario())
 
     def test_a_refused_claim_does_not_spend_the_key(self) -> None:
-        """The worker lets the lease lapse before its holder knows."""
+        """The lease expires at the worker before its holder notices."""
 
         async def scenario() -> Message:
             await self.zone.hold()
@@ -97,23 +97,23 @@
         answer = self.run_async(scenario())
         self.assertIs(Verdict.MAY_HAVE_RUN, answer.verdict)
 
-    def test_a_key_refused_for_lack_of_room_stays_refused(self) -> None:
+    def test_key_refused_for_lack_of_capacity_stays_refused(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             for _ in range(4):
                 self.assertIsInstance(await self.grant(), Grant)
             key = self.zone.key()
             running = self.zone.daemon.dispatcher.run()
-            refused = await _beside(running, self.grant(key))
+            refused = await _run_with_background(running, self.grant(key))
             self.assertIs(Verdict.NOT_RUN, refused.verdict)
             running = self.zone.daemon.dispatcher.run()
-            again = await _beside(running, self.grant(key))
+            again = await _run_with_background(running, self.grant(key))
             self.assertIs(Verdict.NOT_RUN, again.verdict)
 
         self.run_async(scenario())
 
-    def test_a_class_not_heard_of_is_left_to_other_schedulers(self) -> None:
-        """One that has just started has not read the bundle yet."""
+    def test_unknown_class_is_redirected_to_other_schedulers(self) -> None:
+        """A scheduler that just started has not read the bundle yet."""
 
         async def scenario() -> Message:
             await self.zone.hold()
@@ -123,19 +123,19 @@
         answer = self.run_async(scenario())
         self.assertIs(RefusalCode.NOT_HOLDER, answer.code)
 
-    def test_a_key_is_issued_only_for_a_class_heard_of(self) -> None:
-        """Of another it can't be told whether it needs a second witness."""
+    def test_key_is_issued_only_for_a_known_class(self) -> None:
+        """Whether another class needs a second witness is unknown."""
 
         async def scenario() -> Message:
             await self.zone.hold()
-            question = KeyRequest(tenant=TENANT, class_name=ClassName('new'))
-            return await self.zone.daemon.handle(question)
+            request = KeyRequest(tenant=TENANT, class_name=ClassName('new'))
+            return await self.zone.daemon.handle(request)
 
         answer = self.run_async(scenario())
         self.assertIsInstance(answer, Refusal)
         self.assertIs(RefusalCode.NOT_HOLDER, answer.code)
 
-    def test_room_comes_back_with_the_end(self) -> None:
+    def test_capacity_is_released_when_the_task_ends(self) -> None:
         async def scenario() -> None:
             await self.zone.hold()
             granted = await self.grant()
@@ -148,7 +148,7 @@
         self.run_async(scenario())
 
 
-async def _beside(
+async def _run_with_background(
     background: Coroutine[Any, Any, None],
     work: Coroutine[Any, Any, Message],
 ) -> Message:
