--- a/orchidrail/scheduler/__init__.py
+++ b/orchidrail/scheduler/__init__.py
@@ -1,1 +1,1 @@
-"""The scheduler daemon: holds workers, decides, and runs jobs."""
+"""The scheduler daemon: leases workers, places work and runs jobs."""
--- a/orchidrail/scheduler/daemon.py
+++ b/orchidrail/scheduler/daemon.py
@@ -1,4 +1,4 @@
-"""The scheduler daemon: its parts, its loops and its answers."""
+"""The scheduler daemon: components, loops and message handlers."""
 
 from __future__ import annotations
 
@@ -78,10 +78,11 @@
     from orchidrail.settings import SchedulerSettings
 
 BUNDLE_STREAM = 'bundle'
-_STOP_CHECK: Seconds = 0.1
-_LINGER: Seconds = 0.5
-#: Jobs are read less often than the bundle: acceptors read at once.
-_JOBS_POLLS = 2
+_HANDOVER_POLL_INTERVAL: Seconds = 0.1
+_SHUTDOWN_GRACE: Seconds = 0.5
+#: Log polls per read of the jobs stream. It is polled less often than the
+#: bundle, since a scheduler that accepts a job reads at once.
+_JOBS_POLL_FACTOR = 2
 _log = structlog.get_logger()
 
 
@@ -97,11 +98,11 @@
     ----------
     settings : SchedulerSettings
     ports : Ports
-        The outside.
+        Connections to external services.
     address : Address
-        Where peers and gateways reach it.
+        Address at which peers and gateways reach this scheduler.
     incarnation : int
-        Grows with every start of a scheduler of this name.
+        Increases with every start of a scheduler of this name.
     """
 
     def __init__(
@@ -111,20 +112,20 @@
         address: Address,
         incarnation: int,
     ) -> None:
-        """Build the parts; `run` starts them."""
+        """Build the components; `run` starts them."""
         self.settings = settings
         self.ports = ports
         self.invariants = Invariants()
         self.name = SchedulerId(settings.name)
         self.engine = Engine(ports.random)
-        self._tasks: set[asyncio.Task[None]] = set()
-        self._build_views(address, incarnation)
-        self._build_log_parts()
-        self._build_desks()
+        self._background_tasks: set[asyncio.Task[None]] = set()
+        self._build_membership(address, incarnation)
+        self._build_log_components()
+        self._build_services()
 
-    def _build_views(self, address: Address, incarnation: int) -> None:
+    def _build_membership(self, address: Address, incarnation: int) -> None:
         timings = self.settings.timings
-        me = MemberState(
+        own_state = MemberState(
             name=self.name,
             address=address,
             zone=self.settings.zone,
@@ -132,7 +133,7 @@
             beat=0,
         )
         self.members = MembershipView(
-            me,
+            own_state,
             timings.member_timeout,
             self.ports.random,
         )
@@ -154,7 +155,7 @@
             self.invariants,
         )
 
-    def _build_log_parts(self) -> None:
+    def _build_log_components(self) -> None:
         timings = self.settings.timings
         genesis = Bundle(operators=self.settings.operators)
         self.bundle = BundleFold(genesis, self._on_bundle, self.invariants)
@@ -171,7 +172,7 @@
             self.ports.log,
             stream,
             self.book,
-            _JOBS_POLLS * timings.log_poll,
+            _JOBS_POLL_FACTOR * timings.log_poll,
             self.ports.random,
         )
         self.commit = GroupCommit(
@@ -181,7 +182,7 @@
             self.ports.clock,
         )
 
-    def _build_desks(self) -> None:
+    def _build_services(self) -> None:
         self.calls = ZoneCalls(
             self.ports,
             self.keeper,
@@ -206,10 +207,10 @@
             self.dispatcher,
             self.keeper,
         )
-        self._build_job_parts()
+        self._build_job_components()
         self.gossiper = Gossiper(self)
 
-    def _build_job_parts(self) -> None:
+    def _build_job_components(self) -> None:
         placer = Placer(
             self.ports,
             self.dispatcher,
@@ -268,7 +269,13 @@
                     group.create_task(loop)
 
     async def hand_over(self, patience: Seconds) -> None:
-        """Stop in a planned way: hand all workers over, then return."""
+        """Hand over all workers for a planned stop, then return.
+
+        Parameters
+        ----------
+        patience : float
+            Time limit of the handover, seconds.
+        """
         leaving = msgspec.structs.replace(self.members.me, leaving=True)
         self.members.me = leaving
         self.engine.accepting = False
@@ -276,16 +283,16 @@
         await self.gossiper.exchange_with_all()
         end = self.ports.clock() + patience
         while self._is_busy() and self.ports.clock() < end:
-            await asyncio.sleep(_STOP_CHECK)
-        # Callers who haven't heard yet are told to go elsewhere.
-        await asyncio.sleep(_LINGER)
+            await asyncio.sleep(_HANDOVER_POLL_INTERVAL)
+        # Late callers still get a refusal that sends them to another scheduler.
+        await asyncio.sleep(_SHUTDOWN_GRACE)
 
     def _is_busy(self) -> bool:
         return bool(self.keeper.held_by_worker or self.jobs.in_progress)
 
     async def handle(self, message: Message) -> Message:
-        """Answer one message from a gateway, a peer or an operator."""
-        return await self._answer(message)
+        """Handle a message from a gateway, a peer or an operator."""
+        return await self._handle(message)
 
     def on_held(self, held: HeldWorker, tasks: list[TaskReport]) -> None:
         """See `LeaseObserver.on_held`."""
@@ -295,18 +302,18 @@
         now = self.ports.clock()
         for report in tasks:
             if report.state is TaskState.RUNNING:
-                self.engine.adopt(held.place, _item_of(report), now)
+                self.engine.adopt(held.place, _work_item_from(report), now)
                 if not report.job:
                     self.requests.adopt(worker, report.key)
         self.runner.take_up(held)
-        self._take_ends(held, tasks)
+        self._apply_ended_tasks(held, tasks)
         self.dispatcher.wake()
 
     def on_audit(self, held: HeldWorker) -> None:
         """See `LeaseObserver.on_audit`."""
         limit = self.ports.clock() - self.settings.timings.audit
-        old = self.engine.charged_since(held.instance.name, limit)
-        held.pending.settle.update(old)
+        old_tasks = self.engine.charged_since(held.instance.name, limit)
+        held.pending.settle.update(old_tasks)
 
     def on_lost(self, held: HeldWorker) -> None:
         """See `LeaseObserver.on_lost`."""
@@ -318,68 +325,68 @@
 
     def on_reports(self, held: HeldWorker, tasks: list[TaskReport]) -> None:
         """See `LeaseObserver.on_reports`."""
-        self._take_ends(held, tasks)
+        self._apply_ended_tasks(held, tasks)
 
     def spawn(self, work: Coroutine[None, None, None]) -> None:
-        """Run something on the side, kept until it ends."""
+        """Run a coroutine in the background, referenced until it ends."""
         task = asyncio.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
     @singledispatchmethod
-    async def _answer(self, message: Message) -> Message:
-        detail = f'a scheduler does not take {type(message).__name__!r}'
+    async def _handle(self, message: Message) -> Message:
+        detail = f'a scheduler does not accept {type(message).__name__!r}'
         return Refusal(code=RefusalCode.INVALID, detail=detail)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: GrantRequest) -> Message:
-        unknown = self._pass_on_unknown(message.class_name)
-        return unknown or await self.requests.grant(message)
+        refusal = self._refuse_unknown_class(message.class_name)
+        return refusal or await self.requests.grant(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: TasksEnded) -> Message:
         self.requests.take_ends(message.tasks)
         self.runner.take_ends(message.tasks)
         return Ack()
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: KeyRequest) -> Message:
-        unknown = self._pass_on_unknown(message.class_name)
-        if unknown is not None:
-            return unknown
+        refusal = self._refuse_unknown_class(message.class_name)
+        if refusal is not None:
+            return refusal
         key = self.requests.issue(message)
         work_class = self.engine.find_class(message.class_name)
         if work_class is None or work_class.kind is WorkKind.REQUEST:
             return key
         return await self.jobs.extend_key(key)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: SubmitJob) -> Message:
-        unknown = self._pass_on_unknown(message.job.class_name)
-        return unknown or await self.jobs.submit(message)
+        refusal = self._refuse_unknown_class(message.job.class_name)
+        return refusal or await self.jobs.submit(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: QueryJob) -> Message:
         return await self.jobs.query(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: CancelJob) -> Message:
         return await self.jobs.cancel(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: ReservePlace) -> Message:
         return self.reservations.reserve(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: StartReserved) -> Message:
         return await self.reservations.start(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: DropReservation) -> Message:
         self.reservations.drop(message.token)
         return Ack()
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: RelayTasks) -> Message:
         held = self.keeper.authorised(message.worker)
         if held is None or held.boot != message.boot:
@@ -390,11 +397,11 @@
         held.request_renewal()
         return Ack()
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: Gossip) -> Message:
         return self.gossiper.answer(message)
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: FetchBundle) -> Message:
         snapshot = self.bundle.snapshot()
         if snapshot is None or snapshot.version <= message.newer_than:
@@ -405,7 +412,7 @@
             document=msgspec.json.encode(snapshot).decode(),
         )
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: QueryHolder) -> Message:
         holder, address = self.calls.likely_holder(message.worker)
         listed = self.fleet.by_worker.get(message.worker)
@@ -416,39 +423,41 @@
             worker_address=Address('') if listed is None else listed.address,
         )
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: DrainWorker) -> Message:
         self.fleet.hint_leaving(message.worker)
         self.members.note_leaving(message.worker, self.ports.clock())
         return Ack()
 
-    @_answer.register
+    @_handle.register
     async def _(self, message: QueryStatus) -> Message:
         return Status(document=self.gossiper.status_document())
 
-    def _pass_on_unknown(self, class_name: ClassName) -> Refusal | None:
-        """Leave work of a class not heard of to other schedulers.
+    def _refuse_unknown_class(self, class_name: ClassName) -> Refusal | None:
+        """Refuse work of an unknown class, so that other schedulers take it.
 
-        Gateways check classes, so one that isn't known here shows that the
-        bundle here is older, or was not read yet after a start.
+        Gateways check classes, so an unknown class means that the bundle of
+        this scheduler is outdated, or was not read yet after a start.
         """
         if self.engine.find_class(class_name) is not None:
             return None
-        detail = f'{class_name!r} is not known here at the moment'
+        detail = f'work class {class_name!r} is not in the current bundle'
         return Refusal(code=RefusalCode.NOT_HOLDER, detail=detail)
 
-    def _take_ends(self, held: HeldWorker, tasks: list[TaskReport]) -> None:
-        """Settle the accounts of what ended and tell the jobs' owners."""
+    def _apply_ended_tasks(
+        self, held: HeldWorker, tasks: list[TaskReport]
+    ) -> None:
+        """Release the capacity of ended tasks and notify the jobs' owners."""
         self.requests.take_ends(tasks)
         ended = [task for task in tasks if task.state in FINAL_TASK_STATES]
         for report in ended:
             if report.key in held.place.ledger:
-                self._release(held, report)
-        others = self.runner.take_ends(ended)
-        if others:
-            self.spawn(self.jobs.tell_owners(others))
+                self._release_task(held, report)
+        reports_for_others = self.runner.take_ends(ended)
+        if reports_for_others:
+            self.spawn(self.jobs.tell_owners(reports_for_others))
 
-    def _release(self, held: HeldWorker, report: TaskReport) -> None:
+    def _release_task(self, held: HeldWorker, report: TaskReport) -> None:
         worker = held.instance.name
         ran = report.state in {TaskState.FINISHED, TaskState.FAILED}
         if ran:
@@ -468,8 +477,8 @@
         self.engine.set_zone_shapes(shapes)
         for worker, held in self.keeper.held_by_worker.items():
             leaving = self.fleet.is_leaving(worker)
-            passed_on = held.handing_over_since is not None
-            held.place.open = not leaving and not passed_on
+            handing_over = held.handing_over_since is not None
+            held.place.open = not leaving and not handing_over
 
     def _on_bundle(self) -> None:
         zone = self.settings.zone
@@ -494,7 +503,7 @@
             held.request_renewal()
 
 
-def _item_of(report: TaskReport) -> WorkItem:
+def _work_item_from(report: TaskReport) -> WorkItem:
     return WorkItem(
         report.key,
         report.tenant,
--- a/orchidrail/scheduler/dispatcher.py
+++ b/orchidrail/scheduler/dispatcher.py
@@ -1,4 +1,4 @@
-"""The engine as a service to the tasks of one daemon."""
+"""Asynchronous access to the placement engine of one daemon."""
 
 from __future__ import annotations
 
@@ -23,31 +23,31 @@
 
     from orchidrail.deciding.preemption import VictimPlan
 
-#: Longest time between two looks at the queue.
-_IDLE: Seconds = 0.05
-#: The same while nothing waits.
-_QUIET: Seconds = 0.5
-#: Between two looks at which ejected workers may come back.
-_STANDING_INTERVAL: Seconds = 0.5
+#: Maximum time between two queue passes.
+_QUEUE_INTERVAL: Seconds = 0.05
+#: The same while the queue is empty.
+_EMPTY_QUEUE_INTERVAL: Seconds = 0.5
+#: Interval of the checks for ejected workers that may be readmitted.
+_EJECTION_CHECK_INTERVAL: Seconds = 0.5
 
 Outcome = Placed | Declined
 
 
-def _ignore(_seconds: Seconds) -> None:
-    """Stand for an observer that nobody has set."""
+def _ignore_duration(_seconds: Seconds) -> None:
+    """Discard the duration: default observer."""
 
 
 class Dispatcher:
-    """Places work, letting callers wait for their turn.
+    """Places work; callers wait while their work is queued.
 
     Parameters
     ----------
     engine : Engine
-        Decides; owned by this dispatcher's event loop.
+        Makes the decisions; used only from this dispatcher's event loop.
     clock : callable
-        Monotonic seconds.
+        Monotonic clock, seconds.
     on_preempt : callable
-        Stops the tasks of a plan.
+        Stops the tasks of a preemption plan.
     """
 
     def __init__(
@@ -56,20 +56,20 @@
         clock: Callable[[], Seconds],
         on_preempt: Callable[[VictimPlan], None],
     ) -> None:
-        """Start with nobody waiting."""
+        """Create a dispatcher without waiting callers."""
         self.engine = engine
-        #: Told how long each decision took, seconds.
-        self.observe: Callable[[Seconds], None] = _ignore
+        #: Called with the duration of each decision, seconds.
+        self.observe: Callable[[Seconds], None] = _ignore_duration
         self._clock = clock
         self._on_preempt = on_preempt
         self._waiting_by_item: dict[int, asyncio.Future[Outcome]] = {}
-        self._freed = asyncio.Event()
-        self._standing_read_at: Seconds = 0
+        self._pass_requested = asyncio.Event()
+        self._ejections_checked_at: Seconds = 0
 
     async def place(self, item: WorkItem) -> Outcome:
         """Wait until the item is placed or declined.
 
-        A caller that is cancelled leaves nothing behind.
+        A cancelled caller leaves no queued work and no allocation behind.
         """
         started = time.perf_counter()
         decision = self.engine.offer(item, self._clock())
@@ -80,50 +80,54 @@
             asyncio.get_running_loop().create_future()
         )
         self._waiting_by_item[id(item)] = waiting
-        self._freed.set()
+        self._pass_requested.set()
         try:
             return await waiting
         except asyncio.CancelledError:
-            self._abandon(item, waiting)
+            self._cancel_waiting(item, waiting)
             raise
         finally:
             self._waiting_by_item.pop(id(item), None)
 
     def pass_on(self) -> None:
-        """Decline all that waits, so that callers go to other schedulers."""
+        """Decline all queued work, so that callers try other schedulers."""
         for declined in self.engine.decline_all():
-            self._settle(declined.item, declined)
+            self._resolve(declined.item, declined)
 
     def wake(self) -> None:
-        """Look at the queue again: room was freed, or workers came."""
-        self._freed.set()
+        """Request a queue pass: capacity was freed, or workers were added."""
+        self._pass_requested.set()
 
     async def run(self) -> None:
-        """Serve the queue until cancelled."""
+        """Run queue passes until cancelled."""
         while True:
-            pause = _IDLE if len(self.engine.queue) else _QUIET
+            pause = (
+                _QUEUE_INTERVAL
+                if len(self.engine.queue)
+                else _EMPTY_QUEUE_INTERVAL
+            )
             with suppress(TimeoutError, asyncio.TimeoutError):
-                await asyncio.wait_for(self._freed.wait(), pause)
-            self._freed.clear()
-            self._serve()
+                await asyncio.wait_for(self._pass_requested.wait(), pause)
+            self._pass_requested.clear()
+            self._run_pass()
 
-    def _serve(self) -> None:
+    def _run_pass(self) -> None:
         now = self._clock()
-        if now - self._standing_read_at > _STANDING_INTERVAL:
-            self._standing_read_at = now
+        if now - self._ejections_checked_at > _EJECTION_CHECK_INTERVAL:
+            self._ejections_checked_at = now
             self.engine.refresh_standing(now)
         for placed in self.engine.pump(now):
-            self._settle(placed.item, placed)
+            self._resolve(placed.item, placed)
         for stuck in self.engine.decline_stuck(now):
-            self._settle(stuck.item, stuck)
+            self._resolve(stuck.item, stuck)
         for late in self.engine.expired(now):
-            self._settle(late, self._too_late(late))
+            self._resolve(late, self._decline_late(late))
         self.engine.earmark_for(now)
         plan = self.engine.preempt_for(now)
         if plan is not None:
             self._on_preempt(plan)
 
-    def _settle(self, item: WorkItem, outcome: Outcome) -> None:
+    def _resolve(self, item: WorkItem, outcome: Outcome) -> None:
         waiting = self._waiting_by_item.pop(id(item), None)
         if waiting is not None and not waiting.done():
             waiting.set_result(outcome)
@@ -131,13 +135,13 @@
             self.undo(outcome)
 
     def undo(self, placed: Placed) -> None:
-        """Give back the room of work that was placed but never sent."""
+        """Release the capacity of work that was placed but never sent."""
         for index, place in enumerate(placed.places):
             key = member_key(placed.item, index)
             self.engine.give_back(place.worker, key, Proof.NEVER_SENT)
         self.wake()
 
-    def _abandon(
+    def _cancel_waiting(
         self,
         item: WorkItem,
         waiting: asyncio.Future[Outcome],
@@ -148,13 +152,13 @@
         else:
             self.engine.cancel(item)
 
-    def _too_late(self, item: WorkItem) -> Declined:
-        ahead = self.engine.queue.length_of(item.class_name)
+    def _decline_late(self, item: WorkItem) -> Declined:
+        queued_ahead = self.engine.queue.length_of(item.class_name)
         admission = self.engine.admission
-        wait = admission.expected_wait(item.class_name, ahead)
+        wait = admission.expected_wait(item.class_name, queued_ahead)
         return Declined(
             item,
             RefusalCode.DEADLINE,
-            'no place became free in time',
+            'no capacity became free before the deadline',
             admission.retry_after(wait),
         )
--- a/orchidrail/scheduler/gossiper.py
+++ b/orchidrail/scheduler/gossiper.py
@@ -1,4 +1,4 @@
-"""Periodic exchanges with peers, and what a daemon tells of itself."""
+"""Periodic gossip with peers, and the status of a daemon."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 if TYPE_CHECKING:
     from orchidrail.scheduler.daemon import SchedulerDaemon
 
-#: Peers told in each period.
+#: Peers contacted in each period.
 _FANOUT = 1
-#: Periods between two exchanges with another zone.
-_FOREIGN_PERIODS = 4
-_TIMEOUT: Seconds = 1
+#: Gossip periods between two exchanges with another zone.
+_FOREIGN_EXCHANGE_PERIODS = 4
+_CALL_TIMEOUT: Seconds = 1
 
 
 class WorkerStatus(msgspec.Struct, rename='camel'):
@@ -54,40 +54,44 @@
 
 
 class Gossiper:
-    """Exchanges news with a few peers in each period."""
+    """Exchanges gossip with a few peers in each period."""
 
     def __init__(self, daemon: SchedulerDaemon) -> None:
-        """Belong to a daemon."""
+        """Create a gossiper for a daemon."""
         self._daemon = daemon
         self._period = 0
 
     async def run(self) -> None:
-        """Exchange until cancelled."""
+        """Exchange gossip periodically until cancelled."""
         while True:
             await self.exchange()
             await asyncio.sleep(self._daemon.settings.timings.gossip)
 
     async def exchange(self) -> None:
-        """Exchange news with a few peers, now and then with another zone."""
-        self._beat()
+        """Exchange gossip with a few peers, at times with another zone."""
+        self._update_own_state()
         self._period += 1
-        targets = self._pick(self._peer_addresses(), _FANOUT)
-        if self._period % _FOREIGN_PERIODS == 0:
+        targets = self._sample_addresses(self._peer_addresses(), _FANOUT)
+        if self._period % _FOREIGN_EXCHANGE_PERIODS == 0:
             foreign = list(self._daemon.settings.foreign_seeds)
-            targets.extend(self._pick(foreign, 1))
-        await asyncio.gather(*(self._talk(target) for target in targets))
+            targets.extend(self._sample_addresses(foreign, 1))
+        await asyncio.gather(
+            *(self._exchange_with(target) for target in targets)
+        )
         await self._catch_up()
 
     async def exchange_with_all(self) -> None:
-        """Tell every known peer at once, as before a planned stop."""
-        self._beat()
+        """Exchange gossip with all known peers, as before a planned stop."""
+        self._update_own_state()
         targets = self._peer_addresses()
-        await asyncio.gather(*(self._talk(target) for target in targets))
+        await asyncio.gather(
+            *(self._exchange_with(target) for target in targets)
+        )
 
     def answer(self, message: Gossip) -> Message:
-        """Take a peer's news and return one's own."""
-        self._take(message)
-        return self._news()
+        """Apply a peer's gossip and return this scheduler's."""
+        self._apply_gossip(message)
+        return self._outgoing_gossip()
 
     def status_document(self) -> str:
         """Return the daemon's status as JSON."""
@@ -116,22 +120,22 @@
         )
         return msgspec.json.encode(status).decode()
 
-    def _beat(self) -> None:
+    def _update_own_state(self) -> None:
         daemon = self._daemon
-        me = daemon.members.me
+        own_state = daemon.members.me
         daemon.members.me = msgspec.structs.replace(
-            me,
-            beat=me.beat + 1,
+            own_state,
+            beat=own_state.beat + 1,
             bundle=daemon.bundle.version,
             queued=len(daemon.engine.queue),
             held=len(daemon.keeper.held_by_worker),
             largest_free=daemon.engine.shard.largest_free(),
             largest_open=daemon.engine.shard.largest_open(),
         )
-        self._tell_engine()
+        self._update_peer_shapes()
 
-    def _tell_engine(self) -> None:
-        """Let decisions know what the peers could take."""
+    def _update_peer_shapes(self) -> None:
+        """Pass the largest shapes that peers can place to the engine."""
         daemon = self._daemon
         peers = daemon.members.peers(daemon.ports.clock())
         daemon.engine.peer_shapes = [
@@ -146,53 +150,55 @@
         known.discard(daemon.members.me.address)
         return sorted(known)
 
-    def _pick(self, addresses: list[Address], count: int) -> list[Address]:
-        wanted = min(count, len(addresses))
-        return self._daemon.ports.random.sample(addresses, wanted)
+    def _sample_addresses(
+        self, addresses: list[Address], count: int
+    ) -> list[Address]:
+        sample_size = min(count, len(addresses))
+        return self._daemon.ports.random.sample(addresses, sample_size)
 
-    async def _talk(self, target: Address) -> None:
+    async def _exchange_with(self, target: Address) -> None:
         answer = await self._daemon.ports.transport.call(
             target,
-            self._news(),
-            _TIMEOUT,
+            self._outgoing_gossip(),
+            _CALL_TIMEOUT,
         )
         if isinstance(answer, Ok) and isinstance(answer.ok_value, Gossip):
-            self._take(answer.ok_value)
+            self._apply_gossip(answer.ok_value)
 
-    def _news(self) -> Gossip:
+    def _outgoing_gossip(self) -> Gossip:
         daemon = self._daemon
         now = daemon.ports.wall_clock()
         daemon.members.summarise(now, len(daemon.fleet.by_worker))
         return daemon.members.exchange()
 
-    def _take(self, news: Gossip) -> None:
+    def _apply_gossip(self, gossip: Gossip) -> None:
         daemon = self._daemon
-        daemon.members.take(news, daemon.ports.clock())
-        self._tell_engine()
-        for worker in news.leaving:
+        daemon.members.take(gossip, daemon.ports.clock())
+        self._update_peer_shapes()
+        for worker in gossip.leaving:
             if worker in daemon.fleet.by_worker:
                 daemon.fleet.hint_leaving(worker)
 
     async def _catch_up(self) -> None:
-        """Get a newer bundle that a peer told of, from the log or the peer."""
+        """Fetch a newer bundle that a peer has, from the log or the peer."""
         daemon = self._daemon
         newest = daemon.members.newest_bundle(daemon.ports.clock())
         if newest is None or not self._is_newer(newest):
             return
         daemon.bundle_follower.poke()
-        question = FetchBundle(newer_than=daemon.bundle.version)
+        request = FetchBundle(newer_than=daemon.bundle.version)
         answer = await daemon.ports.transport.call(
             newest.address,
-            question,
-            _TIMEOUT,
+            request,
+            _CALL_TIMEOUT,
         )
         if isinstance(answer, Ok):
-            self._adopt(answer.ok_value)
+            self._adopt_bundle(answer.ok_value)
 
     def _is_newer(self, peer: MemberState) -> bool:
         return peer.bundle > self._daemon.bundle.version
 
-    def _adopt(self, answer: Message) -> None:
+    def _adopt_bundle(self, answer: Message) -> None:
         if not isinstance(answer, BundleSnapshot):
             return
         try:
--- a/orchidrail/scheduler/held_worker.py
+++ b/orchidrail/scheduler/held_worker.py
@@ -27,85 +27,85 @@
     from orchidrail.logservice.ports import Instance
     from orchidrail.scheduler.ports import Ports
 
-#: Starts are gathered this long into one message.
-_GATHER: Seconds = 0.002
+#: Starts requested within this time are batched into one message.
+_START_BATCH_DELAY: Seconds = 0.002
 _START_TIMEOUT: Seconds = 1
-#: Renewals for which a worker takes a start that was sent before them.
+#: Number of renewals for which a worker accepts a start sent before them.
 START_WINDOW = 3
 
 
 class StartFailure(Enum):
-    """Why it isn't known that a task was started."""
+    """Why a start of a task was not confirmed."""
 
-    #: It was not and will not be started by this call.
+    #: This call has not started the task and will not start it.
     NOT_STARTED = 'notStarted'
-    #: It may have been started.
+    #: The task may have been started.
     UNSURE = 'unsure'
 
 
-class _Start(NamedTuple):
+class _PendingStart(NamedTuple):
     spec: TaskSpec
     done: asyncio.Future[Result[TaskReport, StartFailure]]
 
 
 class Pending:
-    """Small changes that go with one of the next renewals.
+    """Changes to send to the worker with one of the next lease renewals.
 
-    A task is forgotten only when the worker refuses every start of it that
-    may still be under way: a start counts for `START_WINDOW` renewals.
+    A task is forgotten only once the worker refuses every start of it that
+    may still be in flight: a start is valid for `START_WINDOW` renewals.
     """
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Create an empty set of changes."""
         self.settle: set[TaskId] = set()
         self.stop: set[TaskId] = set()
         self.forget: set[TaskId] = set()
-        self._asked_at: dict[TaskId, int] = {}
+        self._requested_at_by_task: dict[TaskId, int] = {}
 
     def forget_later(self, tasks: Iterable[TaskId], sequence: int) -> None:
-        """Have tasks forgotten once no start of them counts any more.
+        """Have tasks forgotten once no start of them is valid any more.
 
         Parameters
         ----------
         sequence : int
-            Number of the last renewal.
+            Sequence number of the last renewal.
         """
         for task in tasks:
-            self._asked_at.setdefault(task, sequence)
+            self._requested_at_by_task.setdefault(task, sequence)
 
     def take(self, sequence: int) -> Pending:
-        """Return what goes with renewal `sequence`, and start anew."""
+        """Remove and return the changes to send with renewal `sequence`."""
         taken = Pending()
         taken.settle, self.settle = self.settle, set()
         taken.stop, self.stop = self.stop, set()
         taken.forget = {
             task
-            for task, asked_at in self._asked_at.items()
-            if asked_at + START_WINDOW < sequence
+            for task, requested_at in self._requested_at_by_task.items()
+            if requested_at + START_WINDOW < sequence
         }
         for task in taken.forget:
-            self._asked_at.pop(task)
+            self._requested_at_by_task.pop(task)
         return taken
 
     def put_back(self, taken: Pending) -> None:
-        """Keep what was taken for another renewal."""
+        """Keep changes of a failed renewal for a later one."""
         self.settle |= taken.settle
         self.stop |= taken.stop
         self.forget_later(taken.forget, 0)
 
 
 class HeldWorker:
-    """A worker, its lease and its place.
+    """A worker with its lease and its placement state.
 
     Parameters
     ----------
     instance : Instance
-        The worker as it is listed.
+        The worker's entry in the platform's list.
     boot : str
-        The worker's start that granted the lease.
+        Boot id of the worker when it granted the lease.
     lease : HeldLease
     place : Place
-        The worker as a place for work.
+        Capacity and allocations of the worker, for the engine.
     """
 
     def __init__(
@@ -117,53 +117,58 @@
         ports: Ports,
         invariants: Invariants,
     ) -> None:
-        """Start with nothing pending."""
+        """Create a held worker without pending changes."""
         self.instance = instance
         self.boot = boot
         self.lease = lease
         self.place = place
         self.pending = Pending()
-        #: When this scheduler began to hand the worker over, if it has.
+        #: Monotonic time at which the handover of the worker began, if any.
         self.handing_over_since: Seconds | None = None
         self.audited_at = ports.clock()
         self.renew_soon = asyncio.Event()
         self._ports = ports
         self._invariants = invariants
-        self._starts: list[_Start] = []
-        self._sending: set[asyncio.Task[None]] = set()
+        self._pending_starts: list[_PendingStart] = []
+        self._send_tasks: set[asyncio.Task[None]] = set()
 
     def authorised(self) -> bool:
-        """Tell whether this scheduler may act on the worker right now."""
+        """Return whether this scheduler's lease is valid right now."""
         return self.lease.valid(self._ports.clock())
 
     async def start(self, spec: TaskSpec) -> Result[TaskReport, StartFailure]:
-        """Start one task, or put one marker, under the lease.
+        """Start one task, or place one marker, under the lease.
 
         Returns
         -------
-        Ok with the worker's report, also of a refusal.
+        Ok with the worker's report, which may be a refusal.
         """
         done = asyncio.get_running_loop().create_future()
-        if not self._starts:
-            asyncio.get_running_loop().call_later(_GATHER, self._flush)
-        self._starts.append(_Start(spec, done))
+        if not self._pending_starts:
+            asyncio.get_running_loop().call_later(
+                _START_BATCH_DELAY, self._flush
+            )
+        self._pending_starts.append(_PendingStart(spec, done))
         return await done
 
     def request_renewal(self) -> None:
-        """Have the pending changes sent soon."""
+        """Request an early renewal that sends the pending changes."""
         self.renew_soon.set()
 
     def _flush(self) -> None:
-        starts = self._starts
-        self._starts = []
-        sending = asyncio.get_running_loop().create_task(self._send(starts))
-        self._sending.add(sending)
-        sending.add_done_callback(self._sending.discard)
-
-    async def _send(self, starts: list[_Start]) -> None:
-        # Checked right before the send: a paused holder has no authority.
+        starts = self._pending_starts
+        self._pending_starts = []
+        sending = asyncio.get_running_loop().create_task(
+            self._send_starts(starts)
+        )
+        self._send_tasks.add(sending)
+        sending.add_done_callback(self._send_tasks.discard)
+
+    async def _send_starts(self, starts: list[_PendingStart]) -> None:
+        # Checked right before the send: the lease may have expired while
+        # this process was paused.
         if not self.authorised():
-            _settle(starts, Err(StartFailure.NOT_STARTED))
+            _resolve_starts(starts, Err(StartFailure.NOT_STARTED))
             return
         message = StartTasks(
             tasks=[start.spec for start in starts],
@@ -176,21 +181,23 @@
             _START_TIMEOUT,
         )
         if outcome == Err(CallFailure.NOT_SENT):
-            _settle(starts, Err(StartFailure.NOT_STARTED))
+            _resolve_starts(starts, Err(StartFailure.NOT_STARTED))
         elif isinstance(outcome, Ok):
-            self._take_answer(starts, outcome.ok_value)
+            self._apply_answer(starts, outcome.ok_value)
         else:
-            self._ask_later(starts)
-            _settle(starts, Err(StartFailure.UNSURE))
+            self._settle_with_renewal(starts)
+            _resolve_starts(starts, Err(StartFailure.UNSURE))
 
-    def _ask_later(self, starts: list[_Start]) -> None:
-        """Have the next renewal settle what may have been started."""
+    def _settle_with_renewal(self, starts: list[_PendingStart]) -> None:
+        """Settle possibly started tasks with the next renewal."""
         tasks = [start.spec.key for start in starts if not start.spec.marker]
         self.pending.settle.update(tasks)
 
-    def _take_answer(self, starts: list[_Start], answer: Message) -> None:
+    def _apply_answer(
+        self, starts: list[_PendingStart], answer: Message
+    ) -> None:
         if not isinstance(answer, TaskReports):
-            _settle(starts, Err(StartFailure.NOT_STARTED))
+            _resolve_starts(starts, Err(StartFailure.NOT_STARTED))
             return
         for start, report in zip(starts, answer.tasks, strict=True):
             matches = self._invariants.hold(
@@ -202,19 +209,19 @@
             outcome: Result[TaskReport, StartFailure] = (
                 Ok(report) if matches else Err(StartFailure.UNSURE)
             )
-            _settle([start], outcome)
+            _resolve_starts([start], outcome)
 
 
 def is_refused(report: TaskReport) -> bool:
-    """Tell whether a start was refused.
+    """Return whether a start was refused.
 
-    A refusal is of the one message that asked; it says nothing of others.
+    A refusal applies to one start message only; others may be accepted.
     """
     return report.state is TaskState.REFUSED
 
 
-def _settle(
-    starts: list[_Start],
+def _resolve_starts(
+    starts: list[_PendingStart],
     outcome: Result[TaskReport, StartFailure],
 ) -> None:
     for start in starts:
--- a/orchidrail/scheduler/lease_keeper.py
+++ b/orchidrail/scheduler/lease_keeper.py
@@ -1,4 +1,4 @@
-"""Acquires, renews, hands over and loses the leases of workers."""
+"""Acquires, renews, hands over and drops the leases of workers."""
 
 from __future__ import annotations
 
@@ -34,25 +34,26 @@
     from orchidrail.scheduler.ports import Ports
     from orchidrail.settings import Timings
 
-#: Silence of the preferred holder is awaited this many steering periods.
-_HANDOVER_PERIODS = 3
+#: Steering periods for which another scheduler must stay preferred before
+#: a worker is handed over to it.
+_HANDOVER_STEERING_PERIODS = 3
 _log = structlog.get_logger()
 
 
 class LeaseObserver(Protocol):
-    """Whoever needs to know what is held."""
+    """Receives changes of the held leases."""
 
     def on_held(self, held: HeldWorker, tasks: list[TaskReport]) -> None:
-        """Learn that a lease was acquired and what the worker runs."""
+        """Handle an acquired lease and the tasks that the worker runs."""
 
     def on_lost(self, held: HeldWorker) -> None:
-        """Learn that a lease was released or has lapsed."""
+        """Handle a lease that was released or has expired."""
 
     def on_audit(self, held: HeldWorker) -> None:
-        """Have the worker asked about what has been charged to it long."""
+        """Query the worker about tasks allocated to it for a long time."""
 
     def on_reports(self, held: HeldWorker, tasks: list[TaskReport]) -> None:
-        """Learn what a worker told with a renewal."""
+        """Handle the task reports of a renewal."""
 
 
 class LeaseKeeper:
@@ -62,9 +63,9 @@
     ----------
     name : SchedulerId
     fleet : FleetList
-        The zone's workers.
+        Workers of the zone.
     members : MembershipView
-        Steers which scheduler should hold which worker.
+        Determines the preferred holder of each worker.
     """
 
     def __init__(
@@ -77,7 +78,7 @@
         observer: LeaseObserver,
         invariants: Invariants,
     ) -> None:
-        """Start with nothing held."""
+        """Create a keeper without leases."""
         self.held_by_worker: dict[WorkerId, HeldWorker] = {}
         self._name = name
         self._ports = ports
@@ -86,71 +87,71 @@
         self._members = members
         self._observer = observer
         self._invariants = invariants
-        self._task_by_worker: dict[WorkerId, asyncio.Task[None]] = {}
-        self._passed_since: dict[WorkerId, Seconds] = {}
+        self._lease_task_by_worker: dict[WorkerId, asyncio.Task[None]] = {}
+        self._other_preferred_since: dict[WorkerId, Seconds] = {}
 
     async def run(self) -> None:
-        """Steer until cancelled; then stop tending, releasing nothing."""
+        """Steer until cancelled; then stop renewing, without a release."""
         try:
             while True:
                 self.steer()
                 await asyncio.sleep(self._timings.steering)
         finally:
-            await self._stop_tending()
+            await self._cancel_lease_tasks()
 
     def steer(self) -> None:
-        """Tend the workers that this scheduler should hold."""
+        """Acquire workers that this scheduler should hold; pass on others."""
         alive = self._members.alive(self._ports.clock())
         for worker, instance in self._fleet.by_worker.items():
             preferred = preferred_holder(worker, alive)
             if preferred == self._name:
-                self._passed_since.pop(worker, None)
-                self._tend(instance)
+                self._other_preferred_since.pop(worker, None)
+                self._ensure_lease_task(instance)
             elif preferred is not None:
-                self._pass_on(worker)
+                self._consider_handover(worker)
 
     def authorised(self, worker: WorkerId) -> HeldWorker | None:
-        """Return the worker if this scheduler may act on it right now."""
+        """Return the worker if its lease is held and valid right now."""
         held = self.held_by_worker.get(worker)
         return held if held is not None and held.authorised() else None
 
-    def _tend(self, instance: Instance) -> None:
+    def _ensure_lease_task(self, instance: Instance) -> None:
         held = self.held_by_worker.get(instance.name)
         if held is not None:
             held.handing_over_since = None
-        task = self._task_by_worker.get(instance.name)
+        task = self._lease_task_by_worker.get(instance.name)
         if task is None or task.done():
-            self._task_by_worker[instance.name] = asyncio.create_task(
-                self._hold(instance),
+            self._lease_task_by_worker[instance.name] = asyncio.create_task(
+                self._maintain_lease(instance),
             )
 
-    def _pass_on(self, worker: WorkerId) -> None:
-        """Hand over once another has been preferred for some periods."""
+    def _consider_handover(self, worker: WorkerId) -> None:
+        """Begin a handover once another holder stays preferred."""
         now = self._ports.clock()
-        since = self._passed_since.setdefault(worker, now)
-        patience = _HANDOVER_PERIODS * self._timings.steering
+        since = self._other_preferred_since.setdefault(worker, now)
+        handover_delay = _HANDOVER_STEERING_PERIODS * self._timings.steering
         held = self.held_by_worker.get(worker)
         if held is None or held.handing_over_since is not None:
             return
-        if now - since >= patience:
+        if now - since >= handover_delay:
             held.handing_over_since = now
             held.place.open = False
 
-    async def _hold(self, instance: Instance) -> None:
+    async def _maintain_lease(self, instance: Instance) -> None:
         """Acquire a worker's lease and renew it until it is lost."""
         held = await self.acquire(instance)
         if held is None:
             return
         try:
             while held.authorised():
-                await self._pause(held)
+                await self._wait_for_renewal(held)
                 if not await self.renew(held):
                     break
         finally:
-            self._drop(held)
+            self._drop_lease(held)
 
     async def acquire(self, instance: Instance) -> HeldWorker | None:
-        """Ask a worker for its lease once."""
+        """Request the lease of a worker once."""
         sent_at = self._ports.clock()
         message = AcquireLease(holder=self._name, ttl=self._timings.lease_ttl)
         answer = await self._ports.transport.call(
@@ -163,9 +164,9 @@
         granted = answer.ok_value
         if not isinstance(granted, LeaseGranted):
             return None
-        return self._take(instance, granted, sent_at)
+        return self._register_lease(instance, granted, sent_at)
 
-    def _take(
+    def _register_lease(
         self,
         instance: Instance,
         granted: LeaseGranted,
@@ -193,29 +194,29 @@
         self._observer.on_held(held, granted.tasks)
         return held
 
-    async def _pause(self, held: HeldWorker) -> None:
-        waiting = held.renew_soon.wait()
+    async def _wait_for_renewal(self, held: HeldWorker) -> None:
+        renewal_requested = held.renew_soon.wait()
         with suppress(TimeoutError, asyncio.TimeoutError):
-            await asyncio.wait_for(waiting, self._timings.renewal)
+            await asyncio.wait_for(renewal_requested, self._timings.renewal)
         held.renew_soon.clear()
 
     async def renew(self, held: HeldWorker) -> bool:
-        """Renew once; return whether to go on."""
-        if self._handed_over(held):
-            await self._release(held)
+        """Renew a lease once; return whether to keep renewing it."""
+        if self._is_handover_complete(held):
+            await self._release_lease(held)
             return False
         self._audit(held)
         sequence = held.lease.sequence + 1
-        taken = held.pending.take(sequence)
+        sent_changes = held.pending.take(sequence)
         sent_at = self._ports.clock()
         message = RenewLease(
             holder=self._name,
             epoch=held.lease.epoch,
             sequence=sequence,
             ttl=self._timings.lease_ttl,
-            settle=list(taken.settle),
-            forget=list(taken.forget),
-            stop=list(taken.stop),
+            settle=list(sent_changes.settle),
+            forget=list(sent_changes.forget),
+            stop=list(sent_changes.stop),
         )
         answer = await self._ports.transport.call(
             held.instance.address,
@@ -223,38 +224,40 @@
             self._timings.renewal,
         )
         if isinstance(answer, Ok):
-            return self._take_renewal(answer.ok_value, held, taken, sent_at)
-        held.pending.put_back(taken)
+            return self._apply_renewal(
+                answer.ok_value, held, sent_changes, sent_at
+            )
+        held.pending.put_back(sent_changes)
         return True
 
     def _audit(self, held: HeldWorker) -> None:
-        """Ask after old charges now and then, should an end be missed."""
+        """Audit old allocations periodically, in case an end was missed."""
         now = self._ports.clock()
         if now - held.audited_at >= self._timings.audit:
             held.audited_at = now
             self._observer.on_audit(held)
 
     @singledispatchmethod
-    def _take_renewal(
+    def _apply_renewal(
         self,
         answer: Message,
         held: HeldWorker,
-        taken: Pending,
+        sent_changes: Pending,
         sent_at: Seconds,
     ) -> bool:
-        held.pending.put_back(taken)
+        held.pending.put_back(sent_changes)
         return True
 
-    @_take_renewal.register
+    @_apply_renewal.register
     def _(
         self,
         answer: LeaseRenewed,
         held: HeldWorker,
-        taken: Pending,
+        sent_changes: Pending,
         sent_at: Seconds,
     ) -> bool:
         if not held.authorised():
-            # Others saw the authority end; it begins anew with a new epoch.
+            # Others may have seen the lease expire: a new epoch is required.
             return False
         held.lease = held.lease.renewed(answer.sequence, sent_at)
         if answer.leaving:
@@ -262,12 +265,12 @@
         self._observer.on_reports(held, answer.tasks)
         return True
 
-    @_take_renewal.register
+    @_apply_renewal.register
     def _(
         self,
         answer: Refusal,
         held: HeldWorker,
-        taken: Pending,
+        sent_changes: Pending,
         sent_at: Seconds,
     ) -> bool:
         _log.warning(
@@ -278,17 +281,17 @@
         )
         return False
 
-    def _handed_over(self, held: HeldWorker) -> bool:
-        """Tell whether the grants made before the handover are used up."""
+    def _is_handover_complete(self, held: HeldWorker) -> bool:
+        """Return whether all grants from before the handover expired."""
         since = held.handing_over_since
         if since is None:
             return False
         return self._ports.clock() - since > self._timings.grant_validity
 
-    async def _release(self, held: HeldWorker) -> None:
+    async def _release_lease(self, held: HeldWorker) -> None:
         message = ReleaseLease(holder=self._name, epoch=held.lease.epoch)
-        # Dropped before the send: nothing may be started after it.
-        self._drop(held)
+        # Dropped before the send: no task may be started after a release.
+        self._drop_lease(held)
         await self._ports.transport.call(
             held.instance.address,
             message,
@@ -296,15 +299,15 @@
         )
         _log.info('lease released', worker=held.instance.name)
 
-    def _drop(self, held: HeldWorker) -> None:
+    def _drop_lease(self, held: HeldWorker) -> None:
         if self.held_by_worker.get(held.instance.name) is held:
             self.held_by_worker.pop(held.instance.name)
             held.place.open = False
             held.lease = held.lease.ended()
             self._observer.on_lost(held)
 
-    async def _stop_tending(self) -> None:
-        tasks = list(self._task_by_worker.values())
+    async def _cancel_lease_tasks(self) -> None:
+        tasks = list(self._lease_task_by_worker.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/orchidrail/scheduler/main.py
+++ b/orchidrail/scheduler/main.py
@@ -1,4 +1,4 @@
-"""``orchidrail-scheduler``: runs one scheduler until it is told to stop."""
+"""``orchidrail-scheduler``: runs one scheduler until it is signalled."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 from orchidrail.wire.messages import Message
 from orchidrail.wire.transport import MessageServer, TcpTransport
 
-#: Longest time that a planned stop takes.
-_HAND_OVER: Seconds = 10
-_MILLISECONDS = 1000
+#: Time limit of the handover in a planned stop.
+_HANDOVER_TIMEOUT: Seconds = 10
+_MS_PER_SECOND = 1000
 _log = structlog.get_logger()
 
 
@@ -38,43 +38,43 @@
 
 
 async def serve(settings: SchedulerSettings) -> None:
-    """Serve until a signal asks to stop; then hand the workers over."""
+    """Serve until SIGTERM or SIGINT, then hand over the workers."""
     stopping = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopping.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopping.set)
     async with AsyncExitStack() as stack:
-        daemon = await _open(settings, stack)
+        daemon = await _start_daemon(settings, stack)
         running = asyncio.create_task(daemon.run())
-        stack.push_async_callback(_end, running)
+        stack.push_async_callback(_cancel_and_wait, running)
         stopped = asyncio.create_task(stopping.wait())
         await asyncio.wait(
             {running, stopped},
             return_when=asyncio.FIRST_COMPLETED,
         )
         _log.info('stopping')
-        await daemon.hand_over(_HAND_OVER)
+        await daemon.hand_over(_HANDOVER_TIMEOUT)
     _log.info('stopped')
 
 
-async def _open(
+async def _start_daemon(
     settings: SchedulerSettings,
     stack: AsyncExitStack,
 ) -> SchedulerDaemon:
     transport = open_transport(settings, stack)
     ports = open_ports(settings, transport, stack)
-    late: list[SchedulerDaemon] = []
+    daemons: list[SchedulerDaemon] = []
 
     async def handle(message: Message) -> Message:
-        return await late[0].handle(message)
+        return await daemons[0].handle(message)
 
     server = MessageServer(handle, transport.traffic, settings.cluster_key)
     host, port = settings.listen.rsplit(':', 1)
     address = await server.start(host, int(port))
     stack.push_async_callback(server.close)
-    incarnation = int(time.time() * _MILLISECONDS)
+    incarnation = int(time.time() * _MS_PER_SECOND)
     daemon = SchedulerDaemon(settings, ports, address, incarnation)
-    late.append(daemon)
+    daemons.append(daemon)
     _serve_metrics(settings, daemon, transport, stack)
     _log.info('ready', address=address)
     return daemon
@@ -96,7 +96,7 @@
     stack.callback(reporting.cancel)
 
 
-async def _end(running: asyncio.Task[None]) -> None:
+async def _cancel_and_wait(running: asyncio.Task[None]) -> None:
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
 
--- a/orchidrail/scheduler/peer_rooms.py
+++ b/orchidrail/scheduler/peer_rooms.py
@@ -1,4 +1,4 @@
-"""Room for keyed requests at other schedulers of the zone."""
+"""Grants for keyed requests from other schedulers of the zone."""
 
 from __future__ import annotations
 
@@ -14,29 +14,29 @@
     from orchidrail.membership.view import MembershipView
     from orchidrail.scheduler.ports import Ports
 
-#: How long a request may wait at each of the others.
-_PATIENCE: Seconds = 0.1
+#: Time for which a request may wait at each peer.
+_PEER_WAIT_TIMEOUT: Seconds = 0.1
 _CALL_TIMEOUT: Seconds = 1
 
 
 class PeerRooms:
-    """Asks others for room that this scheduler lacks.
+    """Requests capacity from peers when this scheduler has none free.
 
-    The grant is one without a key, under a task of its own: it starts
-    nothing, and runs out unless the key's claim names it.
+    The grant has no key and a task id of its own: it starts nothing, and
+    expires unless the claim of the key names it.
     """
 
     def __init__(self, ports: Ports, members: MembershipView) -> None:
-        """Hold the parts."""
+        """Create a finder that calls the peers of `members`."""
         self._ports = ports
         self._members = members
 
     async def find(self, message: GrantRequest) -> Grant | None:
-        """Return a grant for the request at another scheduler."""
+        """Return the first grant of a peer for the request, if any."""
         request = msgspec.structs.replace(
             message,
             key=RequestKey(''),
-            patience=min(message.patience, _PATIENCE),
+            patience=min(message.patience, _PEER_WAIT_TIMEOUT),
         )
         now = self._ports.clock()
         for peer in self._members.peers_with_room(message.size, now):
--- a/orchidrail/scheduler/placer.py
+++ b/orchidrail/scheduler/placer.py
@@ -1,4 +1,4 @@
-"""Places for groups of tasks, here or at another holder of the zone."""
+"""Placement of task groups, on own workers or those of peers."""
 
 from __future__ import annotations
 
@@ -42,27 +42,27 @@
 
 StartOutcome = Result[TaskReport, StartFailure]
 
-#: How long work waits here before other holders are asked.
-_LOCAL_PATIENCE: Seconds = 0.3
+#: Time for which work is queued locally between attempts at peers.
+_LOCAL_WAIT: Seconds = 0.3
 _RESERVATION_VALIDITY: Seconds = 5
 _CALL_TIMEOUT: Seconds = 1
 _UNSURE = 'unsure'
 
 
 class TaskPlace(Protocol):
-    """Room taken for one task."""
+    """Capacity allocated for one task."""
 
     note: ClaimNote
 
     async def start(self, spec: TaskSpec) -> StartOutcome:
-        """Start the task there."""
+        """Start the task on the worker of this place."""
 
     async def drop(self) -> None:
-        """Give the room back; the task was never sent."""
+        """Release the capacity; the task was never sent."""
 
 
 class LocalPlace:
-    """Room on a worker that this scheduler holds."""
+    """Capacity on a worker that this scheduler holds."""
 
     def __init__(
         self,
@@ -70,7 +70,7 @@
         task: TaskId,
         dispatcher: Dispatcher,
     ) -> None:
-        """Take over room that the engine has reserved."""
+        """Wrap capacity that the engine has allocated."""
         self.note = ClaimNote(
             held.instance.name,
             held.boot,
@@ -92,7 +92,7 @@
 
 
 class RemotePlace:
-    """Room that another holder keeps for a short while."""
+    """Capacity that another holder reserves for a limited time."""
 
     def __init__(
         self,
@@ -101,7 +101,7 @@
         reserved: PlaceReserved,
         task: TaskId,
     ) -> None:
-        """Take over what the holder answered."""
+        """Wrap a reservation from the holder's answer."""
         self.note = ClaimNote(
             reserved.worker,
             reserved.boot,
@@ -133,7 +133,7 @@
 
 
 class Placer:
-    """Finds places for groups of tasks, all or none of a group."""
+    """Allocates places for task groups, all or none of a group."""
 
     def __init__(
         self,
@@ -142,36 +142,38 @@
         keeper: LeaseKeeper,
         members: MembershipView,
     ) -> None:
-        """Hold the parts."""
+        """Create a placer for the given dispatcher and leases."""
         self._ports = ports
         self._dispatcher = dispatcher
         self._keeper = keeper
         self._members = members
 
     def work_class(self, name: ClassName) -> WorkClass | None:
-        """Return a class of the bundle in force, if it has it."""
+        """Return a class of the current bundle, if it exists."""
         return self._dispatcher.engine.find_class(name)
 
     async def place(self, item: WorkItem) -> list[TaskPlace] | Declined:
         """Wait for places for all tasks of a group.
 
-        Work that finds no room here is offered to other holders, too.
+        Work that does not fit locally is also offered to other holders.
         """
-        here = asyncio.create_task(self._dispatcher.place(item))
+        local_placement = asyncio.create_task(self._dispatcher.place(item))
         try:
             while True:
-                done, _ = await asyncio.wait({here}, timeout=_LOCAL_PATIENCE)
+                done, _ = await asyncio.wait(
+                    {local_placement}, timeout=_LOCAL_WAIT
+                )
                 if done:
-                    return self._places_of(here.result(), item)
-                elsewhere = await self._reserve_elsewhere(item)
-                if elsewhere and here.done():
-                    await _drop_all(elsewhere)
-                elif elsewhere:
-                    return elsewhere
+                    return self._local_places(local_placement.result(), item)
+                remote_places = await self._reserve_at_peers(item)
+                if remote_places and local_placement.done():
+                    await _drop_all(remote_places)
+                elif remote_places:
+                    return remote_places
         finally:
-            here.cancel()
+            local_placement.cancel()
 
-    def _places_of(
+    def _local_places(
         self,
         outcome: Placed | Declined,
         item: WorkItem,
@@ -188,22 +190,22 @@
             places.append(LocalPlace(held, task, self._dispatcher))
         return places
 
-    async def _reserve_elsewhere(self, item: WorkItem) -> list[TaskPlace]:
-        """Reserve room for the whole group at others, or nothing."""
+    async def _reserve_at_peers(self, item: WorkItem) -> list[TaskPlace]:
+        """Reserve capacity for the whole group at peers, or none."""
         now = self._ports.clock()
         peers = self._members.peers_with_room(item.size, now)
         places: list[TaskPlace] = []
         for index in range(item.gang):
-            place = await self._reserve_one(item, index, peers)
+            place = await self._reserve_task(item, index, peers)
             if place is None and item.gang > 1:
-                place = self._reserve_here(item, index)
+                place = self._reserve_locally(item, index)
             if place is None:
                 await _drop_all(places)
                 return []
             places.append(place)
         return places
 
-    async def _reserve_one(
+    async def _reserve_task(
         self,
         item: WorkItem,
         index: int,
@@ -235,10 +237,10 @@
             peers.remove(peer)
         return None
 
-    def _reserve_here(self, item: WorkItem, index: int) -> TaskPlace | None:
-        """Fill up a group that is too large for one holder."""
+    def _reserve_locally(self, item: WorkItem, index: int) -> TaskPlace | None:
+        """Reserve locally to complete a group too large for one holder."""
         task = member_key(item, index)
-        single = WorkItem(
+        single_item = WorkItem(
             task,
             item.tenant,
             item.class_name,
@@ -247,7 +249,7 @@
             avoid=item.avoid,
         )
         now = self._ports.clock()
-        placed = self._dispatcher.engine.place_now(single, now)
+        placed = self._dispatcher.engine.place_now(single_item, now)
         if placed is None:
             return None
         held = self._keeper.authorised(placed.place.worker)
@@ -257,16 +259,16 @@
         return LocalPlace(held, task, self._dispatcher)
 
 
-class _Kept(NamedTuple):
+class _Reservation(NamedTuple):
     task: TaskId
     worker: WorkerId
 
 
 class ReservationBook:
-    """Room kept here for tasks of other schedulers.
+    """Capacity reserved here for tasks of other schedulers.
 
-    Each reservation has a token that is good for one start, so that late
-    copies of messages start nothing.
+    Each reservation has a token that is valid for one start, so that delayed
+    duplicates of a message start nothing.
     """
 
     def __init__(
@@ -275,19 +277,21 @@
         dispatcher: Dispatcher,
         keeper: LeaseKeeper,
     ) -> None:
-        """Start with nothing kept."""
+        """Create a book without reservations."""
         self._ports = ports
         self._dispatcher = dispatcher
         self._keeper = keeper
-        self._kept_by_token: dict[str, _Kept] = {}
+        self._reservation_by_token: dict[str, _Reservation] = {}
 
     def reserve(self, message: ReservePlace) -> Message:
-        """Keep room for one task, if there is some right now."""
-        held = self._take_room(message)
+        """Reserve capacity for one task, if some is free right now."""
+        held = self._allocate(message)
         if isinstance(held, Refusal):
             return held
         token = self._ports.new_id()
-        self._kept_by_token[token] = _Kept(message.task, held.instance.name)
+        self._reservation_by_token[token] = _Reservation(
+            message.task, held.instance.name
+        )
         loop = asyncio.get_running_loop()
         loop.call_later(message.validity, self.drop, token)
         return PlaceReserved(
@@ -299,33 +303,35 @@
         )
 
     async def start(self, message: StartReserved) -> Message:
-        """Start a task in the room that was kept for it."""
-        kept = self._kept_by_token.get(message.token)
-        if kept is None or kept.task != message.task.key:
-            return Refusal(code=RefusalCode.UNKNOWN, detail='no reservation')
-        self._kept_by_token.pop(message.token)
-        held = self._keeper.authorised(kept.worker)
+        """Start a task in the capacity reserved for it."""
+        reservation = self._reservation_by_token.get(message.token)
+        if reservation is None or reservation.task != message.task.key:
+            return Refusal(
+                code=RefusalCode.UNKNOWN, detail='no such reservation'
+            )
+        self._reservation_by_token.pop(message.token)
+        held = self._keeper.authorised(reservation.worker)
         if held is None:
             return Refusal(code=RefusalCode.NOT_HOLDER)
         outcome = await held.start(message.task)
         if isinstance(outcome, Ok):
             return outcome.ok_value
         if outcome.err_value is StartFailure.NOT_STARTED:
-            self._give_back(kept)
+            self._release(reservation)
             return Refusal(code=RefusalCode.LEASE_LAPSED)
         return Refusal(code=RefusalCode.UNKNOWN, detail=_UNSURE)
 
     def drop(self, token: str) -> None:
-        """Give back room whose task wasn't started."""
-        kept = self._kept_by_token.pop(token, None)
-        if kept is not None:
-            self._give_back(kept)
+        """Release a reservation whose task was not started."""
+        reservation = self._reservation_by_token.pop(token, None)
+        if reservation is not None:
+            self._release(reservation)
 
-    def _take_room(self, message: ReservePlace) -> HeldWorker | Refusal:
+    def _allocate(self, message: ReservePlace) -> HeldWorker | Refusal:
         engine = self._dispatcher.engine
         if engine.charges(message.task):
-            # A late copy must not share the room of a task that has some.
-            return Refusal(code=RefusalCode.INVALID, detail='it has room')
+            # A delayed duplicate must not share the existing allocation.
+            return Refusal(code=RefusalCode.INVALID, detail='already allocated')
         now = self._ports.clock()
         item = WorkItem(
             message.task,
@@ -343,9 +349,9 @@
             return Refusal(code=RefusalCode.NOT_HOLDER)
         return held
 
-    def _give_back(self, kept: _Kept) -> None:
+    def _release(self, reservation: _Reservation) -> None:
         engine = self._dispatcher.engine
-        engine.give_back(kept.worker, kept.task, Proof.NEVER_SENT)
+        engine.give_back(reservation.worker, reservation.task, Proof.NEVER_SENT)
         self._dispatcher.wake()
 
 
--- a/orchidrail/scheduler/ports.py
+++ b/orchidrail/scheduler/ports.py
@@ -1,4 +1,4 @@
-"""What a scheduler needs of the outside."""
+"""External services that a scheduler depends on."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 
 
 class Ports(NamedTuple):
-    """The outside of a daemon; tests put fakes here."""
+    """External services of a daemon; tests substitute fakes."""
 
     transport: Transport
     log: ConfigurationLog
     instances: InstanceList
-    #: Monotonic seconds.
+    #: Monotonic clock, seconds.
     clock: Callable[[], Seconds]
-    #: Seconds since the epoch.
+    #: Seconds since the Unix epoch.
     wall_clock: Callable[[], Seconds]
     random: Random
-    #: Makes UUIDs of version 7.
+    #: Generates UUIDs of version 7.
     new_id: Callable[[], str] = new_id
--- a/orchidrail/scheduler/reporter.py
+++ b/orchidrail/scheduler/reporter.py
@@ -1,4 +1,4 @@
-"""Brings a scheduler's metrics up to date."""
+"""Updates the metrics of a scheduler."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
     from orchidrail.scheduler.daemon import SchedulerDaemon
     from orchidrail.wire.transport import TrafficCounter
 
-_INTERVAL: Seconds = 2
+_REPORT_INTERVAL: Seconds = 2
 
 
 class MetricsReporter:
-    """Copies counts out of a daemon now and then."""
+    """Copies counts of a daemon into its metrics periodically."""
 
     def __init__(
         self,
         daemon: SchedulerDaemon,
         traffic: TrafficCounter,
     ) -> None:
-        """Belong to a daemon."""
+        """Create the metrics of a daemon and observe its decisions."""
         self.metrics = SchedulerMetrics(daemon.settings.zone)
         daemon.dispatcher.observe = self.metrics.decision.observe
         self._daemon = daemon
@@ -33,15 +33,15 @@
         """Report until cancelled."""
         while True:
             self.report()
-            await asyncio.sleep(_INTERVAL)
+            await asyncio.sleep(_REPORT_INTERVAL)
 
     def report(self) -> None:
-        """Copy the counts once."""
+        """Update all metrics once."""
         daemon = self._daemon
         metrics = self.metrics
         shard = daemon.engine.shard
-        taken = shard.capacity - shard.total_free()
-        metrics.set_packing(taken.dominant_share(shard.capacity))
+        allocated = shard.capacity - shard.total_free()
+        metrics.set_packing(allocated.dominant_share(shard.capacity))
         metrics.set_gauge(metrics.queued, len(daemon.engine.queue))
         metrics.set_gauge(
             metrics.held_workers, len(daemon.keeper.held_by_worker)
--- a/orchidrail/scheduler/request_desk.py
+++ b/orchidrail/scheduler/request_desk.py
@@ -1,4 +1,4 @@
-"""Room for short requests: the scheduler's side of a request."""
+"""Grants of capacity for short requests, on the scheduler's side."""
 
 from __future__ import annotations
 
@@ -47,12 +47,12 @@
     from orchidrail.scheduler.zone_calls import ZoneCalls
     from orchidrail.settings import SchedulerSettings
 
-#: Between two looks for grants that were not used in time.
+#: Interval of the checks for grants that expired unused.
 _WATCH_INTERVAL: Seconds = 0.2
-#: When to come back while leases are being taken over.
+#: Retry delay returned to callers during a lease takeover.
 _TAKEOVER_RETRY: Seconds = 1
-#: Share of run times that a request's patience leaves time for.
-_RUN_TIME_SHARE = 0.9
+#: Quantile of past run times for which a request's time budget leaves time.
+_RUN_TIME_QUANTILE = 0.9
 _log = structlog.get_logger()
 
 
@@ -62,10 +62,10 @@
 
 
 class RequestDesk:
-    """Grants room to gateways, once for each key.
+    """Grants capacity to gateways, once for each key.
 
-    The right to run a keyed request is a claim kept by the key's witness;
-    the worker itself lets each claim be made only once.
+    The right to run a keyed request is a claim stored by the key's witness,
+    a worker that accepts each claim only once.
     """
 
     def __init__(
@@ -77,20 +77,20 @@
         calls: ZoneCalls,
         rooms: PeerRooms,
     ) -> None:
-        """Start with nothing granted."""
+        """Create a desk without grants."""
         self._ports = ports
         self._settings = settings
         self._dispatcher = dispatcher
         self._keeper = keeper
         self._calls = calls
-        self._rooms = rooms
+        self._peer_rooms = rooms
         self._granted_by_task: dict[TaskId, _Granted] = {}
-        self._granting_by_task: dict[TaskId, asyncio.Task[Message]] = {}
+        self._in_flight_by_task: dict[TaskId, asyncio.Task[Message]] = {}
 
     async def grant(self, message: GrantRequest) -> Message:
-        """Grant room for one request, or refuse it with its verdict."""
+        """Grant capacity for one request, or refuse it with a verdict."""
         if not message.key:
-            return await self._grant_free(message)
+            return await self._grant_unkeyed(message)
         parsed = parse_key(message.key, self._ports.wall_clock())
         if not isinstance(parsed, Ok):
             return Refusal(code=RefusalCode.INVALID, detail=parsed.err_value)
@@ -99,11 +99,11 @@
         if witness is None:
             return Refusal(code=RefusalCode.NOT_HOLDER, detail=key.witness)
         if witness.boot != key.boot:
-            return _unknowable(f'{key.witness!r} was restarted')
+            return _unknown_outcome(f'{key.witness!r} was restarted')
         return await self._grant_once(message, key, witness)
 
     def issue(self, message: KeyRequest) -> Message:
-        """Issue a key whose witness is one of the workers held."""
+        """Issue a key whose witness is one of the held workers."""
         place = choose_place(
             WaitingPolicy(),
             self._dispatcher.engine.shard,
@@ -111,7 +111,7 @@
         )
         held = None if place is None else self._keeper.authorised(place.worker)
         if held is None:
-            return _taking_over('no worker is held here at the moment')
+            return _not_holder('this scheduler holds no worker at the moment')
         key = issue_key(
             self._ports.new_id(),
             self._settings.zone,
@@ -121,35 +121,35 @@
         return KeyIssued(key=key)
 
     def take_ends(self, tasks: list[TaskReport]) -> None:
-        """Learn from workers or gateways that requests have ended."""
+        """Apply reports of workers or gateways on granted requests."""
         for report in tasks:
             granted = self._granted_by_task.get(report.key)
             if granted is None:
                 continue
             if report.state in FINAL_TASK_STATES:
                 self._granted_by_task.pop(report.key)
-                self._end(granted.worker, report)
+                self._end_task(granted.worker, report)
             else:
-                # It runs: the worker tells of its end by itself.
+                # It runs: the worker will report its end unasked.
                 known = granted._replace(expires_at=math.inf)
                 self._granted_by_task[report.key] = known
 
     def forget_worker(self, worker: WorkerId) -> None:
         """Drop the grants of a worker whose lease was lost."""
-        lost = [
+        lost_tasks = [
             task
             for task, granted in self._granted_by_task.items()
             if granted.worker == worker
         ]
-        for task in lost:
+        for task in lost_tasks:
             self._granted_by_task.pop(task)
 
     def adopt(self, worker: WorkerId, task: TaskId) -> None:
-        """Watch a request that another holder had granted."""
+        """Watch a request that a previous holder granted."""
         self._granted_by_task[task] = _Granted(worker, self._ports.clock())
 
     async def watch(self) -> None:
-        """Ask after grants that were not used in time, until cancelled."""
+        """Query workers about expired grants until cancelled."""
         while True:
             await asyncio.sleep(_WATCH_INTERVAL)
             now = self._ports.clock()
@@ -158,11 +158,11 @@
                 if held is not None and granted.expires_at < now:
                     held.pending.settle.add(task)
 
-    async def _grant_free(self, message: GrantRequest) -> Message:
+    async def _grant_unkeyed(self, message: GrantRequest) -> Message:
         task = TaskId(self._ports.new_id())
-        outcome = await self._dispatcher.place(self._item(message, task))
+        outcome = await self._dispatcher.place(self._work_item(message, task))
         if isinstance(outcome, Declined):
-            return _refusal_of(outcome)
+            return _refusal_from(outcome)
         return self._grant_at(outcome)
 
     async def _grant_once(
@@ -171,17 +171,17 @@
         key: ParsedKey,
         witness: HeldWorker,
     ) -> Message:
-        """Let attempts on one key that cross share one outcome."""
-        granting = self._granting_by_task.get(key.task)
-        if granting is None:
-            granting = asyncio.create_task(
+        """Share one outcome among concurrent attempts on one key."""
+        in_flight = self._in_flight_by_task.get(key.task)
+        if in_flight is None:
+            in_flight = asyncio.create_task(
                 self._grant_keyed(message, key, witness),
             )
-            self._granting_by_task[key.task] = granting
-            granting.add_done_callback(
-                lambda _: self._granting_by_task.pop(key.task, None),
+            self._in_flight_by_task[key.task] = in_flight
+            in_flight.add_done_callback(
+                lambda _: self._in_flight_by_task.pop(key.task, None),
             )
-        return await asyncio.shield(granting)
+        return await asyncio.shield(in_flight)
 
     async def _grant_keyed(
         self,
@@ -189,15 +189,15 @@
         key: ParsedKey,
         witness: HeldWorker,
     ) -> Message:
-        item = self._item(message, key.task)
+        item = self._work_item(message, key.task)
         outcome = await self._dispatcher.place(item)
         if isinstance(outcome, Declined):
-            return await self._decline(message, key, witness, outcome)
+            return await self._decline_keyed(message, key, witness, outcome)
         place = outcome.place
         held = self._keeper.authorised(place.worker)
         if held is None:
             self._dispatcher.undo(outcome)
-            return _taking_over(f'the lease of {place.worker!r} has lapsed')
+            return _not_holder(f'the lease of {place.worker!r} has expired')
         note = ClaimNote(
             held.instance.name,
             held.boot,
@@ -208,7 +208,7 @@
         if isinstance(claimed, Ok) and _is_new(claimed.ok_value, note):
             return self._grant_at(outcome)
         self._dispatcher.undo(outcome)
-        return self._not_claimed(claimed, key)
+        return self._answer_unclaimed(claimed, key)
 
     async def _grant_elsewhere(
         self,
@@ -216,44 +216,44 @@
         key: ParsedKey,
         witness: HeldWorker,
     ) -> Message | None:
-        """Claim a key for room of another scheduler, if one has some.
+        """Claim a key for capacity of another scheduler, if one has some.
 
-        Only the holder of its witness can claim it, so that passing it on is
-        of no use while the witness stays here.
+        Only the holder of the key's witness can claim it, so forwarding the
+        request is useless while this scheduler holds the witness.
         """
         if not witness.authorised():
             return None
-        grant = await self._rooms.find(message)
+        grant = await self._peer_rooms.find(message)
         if grant is None:
             return None
         note = ClaimNote(grant.worker, grant.boot, grant.address, grant.task)
         claimed = await witness.start(_claim_spec(message, key, note))
         if isinstance(claimed, Ok) and _is_new(claimed.ok_value, note):
             return grant
-        # The other scheduler takes the room back when the grant runs out.
-        return self._not_claimed(claimed, key)
+        # The other scheduler releases the capacity when the grant expires.
+        return self._answer_unclaimed(claimed, key)
 
-    def _not_claimed(
+    def _answer_unclaimed(
         self,
         claimed: Result[TaskReport, StartFailure],
         key: ParsedKey,
     ) -> Message:
-        """Answer a key whose claim was not newly made here."""
+        """Answer a key that this attempt has not newly claimed."""
         if isinstance(claimed, Ok) and not is_refused(claimed.ok_value):
-            return self._join(claimed.ok_value)
+            return self._answer_settled(claimed.ok_value)
         if claimed != Err(StartFailure.UNSURE):
-            return _taking_over(f'the lease of {key.witness!r} has lapsed')
-        return _unknowable('the claim could not be made for certain')
+            return _not_holder(f'the lease of {key.witness!r} has expired')
+        return _unknown_outcome('the outcome of the claim is unknown')
 
     def _grant_at(self, placed: Placed) -> Message:
         worker = placed.place.worker
         held = self._keeper.authorised(worker)
         if held is None:
             self._dispatcher.undo(placed)
-            return _taking_over(f'the lease of {worker!r} has lapsed')
+            return _not_holder(f'the lease of {worker!r} has expired')
         now = self._ports.clock()
-        longest = self._settings.timings.grant_validity
-        validity = min(longest, held.lease.remaining(now))
+        max_validity = self._settings.timings.grant_validity
+        validity = min(max_validity, held.lease.remaining(now))
         task = placed.item.key
         self._granted_by_task[task] = _Granted(worker, now + validity)
         return Grant(
@@ -266,18 +266,18 @@
             validity=validity,
         )
 
-    async def _decline(
+    async def _decline_keyed(
         self,
         message: GrantRequest,
         key: ParsedKey,
         witness: HeldWorker,
         declined: Declined,
     ) -> Message:
-        """Refuse a key for good, unless it was claimed or can go elsewhere."""
+        """Refuse a key permanently, unless claimed or granted by a peer."""
         if declined.code is RefusalCode.NOT_HOLDER:
             granted = await self._grant_elsewhere(message, key, witness)
-            # Without a grant the next holder of the witness may still take it.
-            return granted or _refusal_of(declined)
+            # Without a grant the next holder of the witness may still claim it.
+            return granted or _refusal_from(declined)
         note = ClaimNote(
             key.witness,
             key.boot,
@@ -286,14 +286,16 @@
         )
         settled = await self._calls.settle(note, [key.claim])
         if not isinstance(settled, Ok):
-            return _unknowable('its witness could not be asked')
+            return _unknown_outcome(
+                'the claim could not be settled at the witness'
+            )
         report = settled.ok_value[0]
         if report.state is TaskState.NEVER_STARTED:
-            return _refusal_of(declined)
-        return self._join(report)
+            return _refusal_from(declined)
+        return self._answer_settled(report)
 
-    def _join(self, report: TaskReport) -> Message:
-        """Answer a key that was claimed, or refused, before."""
+    def _answer_settled(self, report: TaskReport) -> Message:
+        """Answer a key that was claimed or refused before."""
         if report.state is not TaskState.MARKER:
             detail = 'the key was refused before; take a new one'
             return Refusal(code=RefusalCode.INVALID, detail=detail)
@@ -308,27 +310,27 @@
             validity=0,
         )
 
-    def _item(self, message: GrantRequest, task: TaskId) -> WorkItem:
+    def _work_item(self, message: GrantRequest, task: TaskId) -> WorkItem:
         now = self._ports.clock()
         run_time = self._dispatcher.engine.run_times.quantile(
             message.tenant,
             message.class_name,
-            _RUN_TIME_SHARE,
+            _RUN_TIME_QUANTILE,
             default=0,
         )
-        # What starts too late to be answered in time had better not start.
-        needed = min(run_time, message.patience / 2)
+        # Don't start a request too late for an answer within its time budget.
+        time_needed = min(run_time, message.patience / 2)
         return WorkItem(
             task,
             message.tenant,
             message.class_name,
             message.size,
             queued_at=now,
-            deadline=now + message.patience - needed,
+            deadline=now + message.patience - time_needed,
             avoid=frozenset(message.avoid),
         )
 
-    def _end(self, worker: WorkerId, report: TaskReport) -> None:
+    def _end_task(self, worker: WorkerId, report: TaskReport) -> None:
         engine = self._dispatcher.engine
         if report.state is TaskState.NEVER_STARTED:
             engine.give_back(worker, report.key, Proof.REFUSED)
@@ -354,12 +356,12 @@
 
 
 def _is_new(report: TaskReport, note: ClaimNote) -> bool:
-    # Two attempts that chose the same worker would have the same note, and
-    # may both go there: that worker starts the task once.
+    # Two attempts that chose the same worker have equal notes, and both may
+    # use the grant: the worker starts the task only once.
     return report.state is TaskState.MARKER and report.note == note.text
 
 
-def _refusal_of(declined: Declined) -> Refusal:
+def _refusal_from(declined: Declined) -> Refusal:
     _log.info(
         'request refused',
         task=declined.item.key,
@@ -373,7 +375,7 @@
     )
 
 
-def _taking_over(detail: str) -> Refusal:
+def _not_holder(detail: str) -> Refusal:
     return Refusal(
         code=RefusalCode.NOT_HOLDER,
         detail=detail,
@@ -381,7 +383,7 @@
     )
 
 
-def _unknowable(detail: str) -> Refusal:
+def _unknown_outcome(detail: str) -> Refusal:
     return Refusal(
         code=RefusalCode.UNKNOWN,
         detail=detail,
--- a/orchidrail/scheduler/zone_calls.py
+++ b/orchidrail/scheduler/zone_calls.py
@@ -1,4 +1,4 @@
-"""Finding the holder of a worker and acting on the worker through it."""
+"""Locates the holder of a worker and acts on the worker through it."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
     from orchidrail.scheduler.lease_keeper import LeaseKeeper
     from orchidrail.scheduler.ports import Ports
 
-_TIMEOUT: Seconds = 1
+_CALL_TIMEOUT: Seconds = 1
 
 
 class ZoneCalls:
-    """Calls to workers that this or another scheduler of the zone holds."""
+    """Calls to workers held by any scheduler of the zone."""
 
     def __init__(
         self,
@@ -44,20 +44,20 @@
         members: MembershipView,
         fleet: FleetList,
     ) -> None:
-        """Hold the parts; nothing is opened."""
+        """Create the calls; opens no connection."""
         self._ports = ports
         self._keeper = keeper
         self._members = members
         self._fleet = fleet
 
     def likely_holder(self, worker: WorkerId) -> tuple[SchedulerId, Address]:
-        """Return who should hold a worker, and its address if known."""
-        me = self._members.me
+        """Return the likely holder of a worker, and its address if known."""
+        own_state = self._members.me
         if self._keeper.authorised(worker) is not None:
-            return me.name, me.address
+            return own_state.name, own_state.address
         alive = self._members.alive(self._ports.clock())
-        name = preferred_holder(worker, alive) or me.name
-        address = me.address if name == me.name else None
+        name = preferred_holder(worker, alive) or own_state.name
+        address = own_state.address if name == own_state.name else None
         known = address or self._members.address_of(name)
         return name, known or Address('')
 
@@ -66,12 +66,15 @@
 
         Returns
         -------
-        The answer, or a refusal of its own with ``UNREACHABLE``.
+        The answer; a refusal with ``UNREACHABLE`` if the call fails, or with
+        ``NOT_HOLDER`` if no other scheduler is known to hold the worker.
         """
         _, address = self.likely_holder(worker)
         if not address or address == self._members.me.address:
             return Refusal(code=RefusalCode.NOT_HOLDER)
-        answer = await self._ports.transport.call(address, message, _TIMEOUT)
+        answer = await self._ports.transport.call(
+            address, message, _CALL_TIMEOUT
+        )
         if isinstance(answer, Ok):
             return answer.ok_value
         return Refusal(code=RefusalCode.UNREACHABLE)
@@ -81,15 +84,17 @@
         note: ClaimNote,
         keys: list[TaskId],
     ) -> Result[list[TaskReport], RefusalCode]:
-        """Ask a worker what became of tasks; unknown ones will never start.
+        """Query the outcome of tasks; unknown ones will never start.
 
-        Needs no lease: it takes rights away and gives none.
+        Needs no lease: it only revokes the right to start, and grants none.
         """
         listed = self._fleet.by_worker.get(note.worker)
         address = note.address if listed is None else listed.address
         message = SettleTasks(keys=keys, boot=note.boot)
-        answer = await self._ports.transport.call(address, message, _TIMEOUT)
-        return _reports_of(answer)
+        answer = await self._ports.transport.call(
+            address, message, _CALL_TIMEOUT
+        )
+        return _reports_from(answer)
 
     async def control(
         self,
@@ -98,7 +103,7 @@
         stop: list[TaskId] | None = None,
         forget: list[TaskId] | None = None,
     ) -> bool:
-        """Have tasks stopped or forgotten; return whether it is under way."""
+        """Request that tasks stop or are forgotten; return if accepted."""
         held = self._keeper.authorised(note.worker)
         if held is not None and held.boot == note.boot:
             held.pending.stop.update(stop or ())
@@ -115,7 +120,7 @@
         return not isinstance(answer, Refusal)
 
 
-def _reports_of(
+def _reports_from(
     answer: Result[Message, CallFailure],
 ) -> Result[list[TaskReport], RefusalCode]:
     if not isinstance(answer, Ok):
