--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of the decisions, with baselines of the project's own."""
+"""Benchmarks of the scheduling decisions, with baselines to compare."""
--- a/benchmarks/baselines.py
+++ b/benchmarks/baselines.py
@@ -1,4 +1,4 @@
-"""Baselines: first fit first come, and random of two. Both are FIFO."""
+"""Baseline schedulers: first fit and power of two choices, both FIFO."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FirstFit:
-    """One queue, first come first served, on the first place that fits."""
+    """Serves one FIFO queue and picks the first place that fits."""
 
     name = 'first fit'
 
@@ -23,7 +23,7 @@
         self._waiting: deque[WorkItem] = deque()
 
     def add_place(self, place: Place) -> None:
-        """Take a worker in."""
+        """Add a worker."""
         self._places.append(place)
         self._place_by_worker[place.worker] = place
 
@@ -33,7 +33,7 @@
         return self.pump(now)
 
     def pump(self, now: Seconds) -> list[Placed]:
-        """Start from the head of the queue while it fits."""
+        """Start items from the head of the queue until one does not fit."""
         placed = []
         while self._waiting:
             found = self._place(self._waiting[0])
@@ -51,15 +51,15 @@
         ok: bool,
         now: Seconds,
     ) -> None:
-        """Give the room of a task back."""
+        """Release the resources of an ended task."""
         self._place_by_worker[worker].ledger.release(task, Proof.ENDED)
 
     def expired(self, now: Seconds) -> list[WorkItem]:
-        """Return the items at the head whose patience has ended."""
-        late = []
+        """Remove and return items at the head whose deadline has passed."""
+        expired_items = []
         while self._waiting and self._waiting[0].deadline <= now:
-            late.append(self._waiting.popleft())
-        return late
+            expired_items.append(self._waiting.popleft())
+        return expired_items
 
     def choose(self, item: WorkItem) -> Place | None:
         """Return the first place that fits."""
@@ -73,9 +73,9 @@
         for index in range(item.gang):
             place = self.choose(item)
             if place is None:
-                for number, taken in enumerate(places):
+                for number, reserved in enumerate(places):
                     key = member_key(item, number)
-                    taken.ledger.release(key, Proof.NEVER_SENT)
+                    reserved.ledger.release(key, Proof.NEVER_SENT)
                 return None
             place.ledger.reserve(member_key(item, index), item.size)
             places.append(place)
@@ -83,12 +83,12 @@
 
 
 class RandomOfTwo(FirstFit):
-    """The less loaded of two places drawn at random, else first fit."""
+    """Picks the less loaded of two random places, else the first fit."""
 
     name = 'random of two'
 
     def choose(self, item: WorkItem) -> Place | None:
-        """Return the better of two places."""
+        """Return the less loaded of two random places, or the first fit."""
         drawn = self._random.sample(self._places, 2)
         fitting = [
             place
@@ -100,8 +100,8 @@
         return super().choose(item)
 
 
-class Ours:
-    """The engine behind the same few calls."""
+class EngineDecider:
+    """Adapts the engine to the interface of the baselines."""
 
     name = 'orchidrail'
 
@@ -110,7 +110,7 @@
         self.declined: list[WorkItem] = []
 
     def add_place(self, place: Place) -> None:
-        """Take a worker in."""
+        """Add a worker."""
         self.engine.add_place(place)
 
     def offer(self, item: WorkItem, now: Seconds) -> list[Placed]:
@@ -123,7 +123,7 @@
         return []
 
     def pump(self, now: Seconds) -> list[Placed]:
-        """Return what starts of the waiting work."""
+        """Return the waiting items that start."""
         return self.engine.pump(now)
 
     def end(
@@ -134,9 +134,9 @@
         ok: bool,
         now: Seconds,
     ) -> None:
-        """Tell of an end."""
+        """Report the end of a task to the engine."""
         self.engine.note_end(worker, task, ok=ok, now=now)
 
     def expired(self, now: Seconds) -> list[WorkItem]:
-        """Return the items whose patience has ended."""
+        """Return the items whose deadline has passed."""
         return self.engine.expired(now)
--- a/benchmarks/bench.py
+++ b/benchmarks/bench.py
@@ -1,7 +1,7 @@
-"""``make bench``: the decisions measured against baselines and ablations.
+"""``make bench``: compares scheduling decisions with baselines and ablations.
 
-Prints tables and writes one JSON file. Everything is seeded; figures that are
-times of this machine's processor differ from run to run.
+Prints tables and writes one JSON file. All inputs are seeded, but measured
+processor times differ from run to run.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 import fire
 
-from benchmarks.baselines import FirstFit, Ours, RandomOfTwo
-from benchmarks.replay import Replay, Work
+from benchmarks.baselines import EngineDecider, FirstFit, RandomOfTwo
+from benchmarks.replay import Arrival, Replay
 from orchidrail.bundles.model import (
     Bundle,
     PackingPolicy,
@@ -50,7 +50,7 @@
 
 
 def bundle(**changes: object) -> Bundle:
-    """Return the bundle of the benchmarks."""
+    """Return the bundle of the benchmarks with the given fields replaced."""
     fields: dict[str, object] = {
         'tenants': {TENANT: Tenant(quota=Quota())},
         'classes': {
@@ -94,18 +94,18 @@
     workers: int,
     shape: Resources = OUTLET,
     seed: int = 1,
-    used: Bundle | None = None,
+    custom_bundle: Bundle | None = None,
 ) -> Engine:
-    """Return an engine that holds some workers."""
+    """Return an engine with a number of idle workers."""
     engine = Engine(Random(seed))
-    engine.use_bundle(used or bundle(), ZONE)
+    engine.use_bundle(custom_bundle or bundle(), ZONE)
     for place in places(workers, shape):
         engine.add_place(place)
     return engine
 
 
 def places(workers: int, shape: Resources) -> list[Place]:
-    """Return empty places."""
+    """Return places without reservations, eight to a rack."""
     return [
         Place(WorkerId(f'w-{number}'), f'r-{number // 8}', Ledger(shape))
         for number in range(workers)
@@ -113,7 +113,7 @@
 
 
 def measure_decisions(workers: int, seed: int, count: int = 20_000) -> Row:
-    """Measure placing one request or task on a cell that is 85% full."""
+    """Measure the time to place one request or task on a cell 85% full."""
     engine = make_engine(workers, seed=seed)
     random = Random(seed)
     running: list[Placed] = []
@@ -155,7 +155,7 @@
     random: Random,
     workers: int,
 ) -> None:
-    """Place work until 85% of the slots and cores are taken."""
+    """Allocate 85% of the slots and, with the headroom, of the cores."""
     for number in range(int(workers * 8 * 0.85)):
         item = WorkItem(TaskId(f'r{number}'), TENANT, TAG, REQUEST)
         decision = engine.offer(item, 0)
@@ -172,19 +172,20 @@
     random.shuffle(running)
 
 
-def outlet_works(seed: int, load: float, seconds: float) -> list[Work]:
-    """Return tag checks and previews that fill `load` of the slots."""
+def outlet_arrivals(seed: int, load: float, seconds: float) -> list[Arrival]:
+    """Return tag checks and previews that need a share `load` of the slots."""
     random = Random(seed)
     mean = 0.06
     rate = _WORKERS * 8 * load / mean
-    works = []
+    arrivals = []
     at = 0.0
     number = 0
     while at < seconds:
         at += random.expovariate(rate)
         number += 1
         tag = random.random() < 0.5
-        # Run times are off by up to three times either way.
+        # Run times vary by a factor of up to three in either direction; the
+        # divisor keeps their mean.
         factor = 3 ** random.uniform(-1, 1)
         run_time = mean * factor / 1.2137
         item = WorkItem(
@@ -194,25 +195,27 @@
             REQUEST,
             deadline=at + 5,
         )
-        works.append(Work(at, item, run_time))
-    return works
+        arrivals.append(Arrival(at, item, run_time))
+    return arrivals
 
 
 def measure_waiting(
-    make: Callable[[], object],
+    make_decider: Callable[[], object],
     name: str,
     seed: int,
     load: float = 0.85,
-    bad: int = 1,
+    failing_count: int = 1,
     seconds: float = 12,
 ) -> Row:
-    """Replay the outlet mix with workers that fail everything."""
-    decider = make()
+    """Replay the outlet mix with some workers that fail every task."""
+    decider = make_decider()
     for place in places(_WORKERS, OUTLET):
         decider.add_place(place)  # type: ignore[attr-defined]
-    works = outlet_works(seed, load, seconds)
-    failing = frozenset(WorkerId(f'w-{number}') for number in range(bad))
-    outcome = Replay(decider, works, failing).run(seconds + 10)
+    arrivals = outlet_arrivals(seed, load, seconds)
+    failing = frozenset(
+        WorkerId(f'w-{number}') for number in range(failing_count)
+    )
+    outcome = Replay(decider, arrivals, failing).run(seconds + 10)
     answered = outcome.done_by_class[TAG] + outcome.done_by_class[PREVIEW]
     return {
         'decider': name,
@@ -223,16 +226,16 @@
         'failures': outcome.failures,
         'answered': answered,
         'answered_per_s': answered / seconds,
-        'sent': len(works),
+        'sent': len(arrivals),
     }
 
 
-def measure_previews(seed: int, used: Bundle, name: str) -> Row:
-    """Measure previews beside a full backlog of stacks, and packing."""
-    engine = make_engine(_WORKERS, ARCHIVE, seed, used)
+def measure_previews(seed: int, custom_bundle: Bundle, name: str) -> Row:
+    """Measure waits of previews, and packing, with a backlog of stacks."""
+    engine = make_engine(_WORKERS, ARCHIVE, seed, custom_bundle)
     random = Random(seed)
-    works = [
-        Work(
+    arrivals = [
+        Arrival(
             0,
             WorkItem(
                 TaskId(f's{number}'),
@@ -252,7 +255,7 @@
         at += random.expovariate(60)
         number += 1
         item = WorkItem(TaskId(f'p{number}'), TENANT, PREVIEW, REQUEST)
-        works.append(Work(at, item, random.uniform(0.1, 0.6)))
+        arrivals.append(Arrival(at, item, random.uniform(0.1, 0.6)))
     total = engine.shard.capacity
     bound = 1 - HEADROOM.cores / ARCHIVE.cores
 
@@ -263,7 +266,7 @@
         return max(cores, memory)
 
     outcome = Replay(
-        Ours(engine), works, load=batch_share, measure=(20, 110)
+        EngineDecider(engine), arrivals, load=batch_share, measure=(20, 110)
     ).run(
         120,
     )
@@ -277,25 +280,25 @@
 
 
 def measure_urgent(seed: int) -> Row:
-    """Measure urgent tasks on a cell that is full of preemptible ones."""
+    """Measure urgent tasks on a cell that is full of preemptible tasks."""
     engine = make_engine(_WORKERS, ARCHIVE, seed)
-    works = [
-        Work(
+    arrivals = [
+        Arrival(
             0,
             WorkItem(TaskId(f's{number}'), TENANT, BATCH, Resources(8, 16)),
             600,
         )
         for number in range(400)
     ]
-    works.extend(
-        Work(
+    arrivals.extend(
+        Arrival(
             10 + number * 0.5,
             WorkItem(TaskId(f'u{number}'), TENANT, URGENT, Resources(24, 48)),
             5,
         )
         for number in range(40)
     )
-    outcome = Replay(Ours(engine), works).run(60)
+    outcome = Replay(EngineDecider(engine), arrivals).run(60)
     return {
         'urgent_started': len(outcome.waits_by_class[URGENT]),
         'of': 40,
@@ -304,22 +307,22 @@
     }
 
 
-def measure_gangs(seed: int, *, earmarks: bool) -> Row:
-    """Measure gangs of a quarter of the cell in a backlog of small tasks."""
+def measure_gangs(seed: int, *, reservations: bool) -> Row:
+    """Measure gangs of a quarter of the workers among many small tasks."""
     engine = make_engine(_WORKERS, ARCHIVE, seed)
-    if not earmarks:
+    if not reservations:
         engine.earmark_for = lambda now: None  # type: ignore[method-assign]
     random = Random(seed)
-    works = [
-        Work(
+    arrivals = [
+        Arrival(
             number * 0.05,
             WorkItem(TaskId(f's{number}'), TENANT, BATCH, Resources(8, 16)),
             random.uniform(5, 15),
         )
         for number in range(6000)
     ]
-    works.extend(
-        Work(
+    arrivals.extend(
+        Arrival(
             20 + number * 40,
             WorkItem(
                 TaskId(f'g{number}'),
@@ -332,11 +335,11 @@
         )
         for number in range(4)
     )
-    works.sort(key=lambda work: work.at)
-    outcome = Replay(Ours(engine), works).run(300)
+    arrivals.sort(key=lambda arrival: arrival.at)
+    outcome = Replay(EngineDecider(engine), arrivals).run(300)
     waits = outcome.waits_by_class[GANG]
     return {
-        'earmarks': earmarks,
+        'earmarks': reservations,
         'gangs_started': len(waits),
         'of': 4,
         'gang_max_s': max(waits, default=float('inf')),
@@ -345,19 +348,19 @@
 
 
 def measure_fairness(seed: int, teams: int = 120) -> Row:
-    """Measure shares of teams with unlike weights in a backlog."""
+    """Measure the fair shares of teams with different weights."""
     weights = {
         TenantId(f'team-{number}'): 1 + number % 4 for number in range(teams)
     }
-    used = bundle(
+    custom_bundle = bundle(
         tenants={
             name: Tenant(weight=weight) for name, weight in weights.items()
         },
     )
-    engine = make_engine(160, ARCHIVE, seed, used)
+    engine = make_engine(160, ARCHIVE, seed, custom_bundle)
     random = Random(seed)
-    works = [
-        Work(
+    arrivals = [
+        Arrival(
             0,
             WorkItem(TaskId(f'{name}-{number}'), name, BATCH, Resources(1, 2)),
             random.uniform(2, 6),
@@ -365,8 +368,8 @@
         for name in weights
         for number in range(1500)
     ]
-    random.shuffle(works)
-    outcome = Replay(Ours(engine), works, measure=(15, 40)).run(40)
+    random.shuffle(arrivals)
+    outcome = Replay(EngineDecider(engine), arrivals, measure=(15, 40)).run(40)
     total = sum(outcome.used_by_tenant.values())
     weight_total = sum(weights.values())
     errors = [
@@ -382,13 +385,15 @@
     }
 
 
-def without_ejection(seed: int) -> Ours:
+def without_ejection(seed: int) -> EngineDecider:
     """Return the engine without ejection of failing workers."""
-    return Ours(make_engine(0, seed=seed, used=bundle(max_ejected=0.0)))
+    return EngineDecider(
+        make_engine(0, seed=seed, custom_bundle=bundle(max_ejected=0.0))
+    )
 
 
-def without_priorities(seed: int) -> Ours:
-    """Return the engine with all classes of one priority."""
+def without_priorities(seed: int) -> EngineDecider:
+    """Return the engine with the same priority for all classes."""
     classes = {
         name: WorkClass(
             kind=found.kind,
@@ -397,11 +402,13 @@
         )
         for name, found in bundle().classes.items()
     }
-    return Ours(make_engine(0, seed=seed, used=bundle(classes=classes)))
+    return EngineDecider(
+        make_engine(0, seed=seed, custom_bundle=bundle(classes=classes))
+    )
 
 
-def two_samples(seed: int) -> Ours:
-    """Return the engine with the better of two sampled workers."""
+def two_samples(seed: int) -> EngineDecider:
+    """Return the engine with a sample of two workers for each request."""
     classes = {
         name: WorkClass(
             kind=found.kind,
@@ -412,7 +419,9 @@
         )
         for name, found in bundle().classes.items()
     }
-    return Ours(make_engine(0, seed=seed, used=bundle(classes=classes)))
+    return EngineDecider(
+        make_engine(0, seed=seed, custom_bundle=bundle(classes=classes))
+    )
 
 
 def run(seed: int = 1, out: str = 'out/bench.json') -> None:
@@ -422,7 +431,7 @@
         measure_decisions(workers, seed) for workers in (24, 1400, 32_000)
     ]
     deciders: list[tuple[str, Callable[[], object]]] = [
-        ('orchidrail', lambda: Ours(make_engine(0, seed=seed))),
+        ('orchidrail', lambda: EngineDecider(make_engine(0, seed=seed))),
         ('first fit', lambda: FirstFit(Random(seed))),
         ('random of two', lambda: RandomOfTwo(Random(seed))),
         ('orchidrail, no ejection', lambda: without_ejection(seed)),
@@ -430,23 +439,24 @@
         ('orchidrail, two samples', lambda: two_samples(seed)),
     ]
     tables['waiting'] = [
-        measure_waiting(make, name, seed) for name, make in deciders
+        measure_waiting(make_decider, name, seed)
+        for name, make_decider in deciders
     ]
     tables['overload'] = [
-        measure_waiting(make, name, seed, load=load, bad=0)
-        for name, make in deciders[:3]
+        measure_waiting(make_decider, name, seed, load=load, failing_count=0)
+        for name, make_decider in deciders[:3]
         for load in (1.0, 2.0)
     ]
-    bare = bundle(zones={ZONE: Zone(headroom=NOTHING)})
+    no_headroom = bundle(zones={ZONE: Zone(headroom=NOTHING)})
     tables['archive'] = [
         measure_previews(seed, bundle(), 'orchidrail'),
-        measure_previews(seed, bare, 'orchidrail, no headroom'),
+        measure_previews(seed, no_headroom, 'orchidrail, no headroom'),
         measure_previews(seed, _spread_bundle(), 'orchidrail, waiting policy'),
     ]
     tables['urgent'] = [measure_urgent(seed)]
     tables['gangs'] = [
-        measure_gangs(seed, earmarks=True),
-        measure_gangs(seed, earmarks=False),
+        measure_gangs(seed, reservations=True),
+        measure_gangs(seed, reservations=False),
     ]
     tables['fairness'] = [measure_fairness(seed)]
     for name, rows in tables.items():
@@ -471,13 +481,13 @@
     lines = [f'## {name}', '| ' + ' | '.join(rows[0]) + ' |']
     lines.append('|' + ' --- |' * len(rows[0]))
     for row in rows:
-        cells = [_shown(value) for value in row.values()]
+        cells = [_format_value(value) for value in row.values()]
         lines.append('| ' + ' | '.join(cells) + ' |')
     sys.stdout.write('\n'.join(lines) + '\n\n')
     sys.stdout.flush()
 
 
-def _shown(value: object) -> str:
+def _format_value(value: object) -> str:
     return f'{value:.3f}' if isinstance(value, float) else str(value)
 
 
--- a/benchmarks/passes.py
+++ b/benchmarks/passes.py
@@ -1,8 +1,8 @@
-"""What a pass of the owner that serves takes, by the size of the cell.
+"""Duration of a placement pass of the shard owner, by cell size.
 
-Workers near full, 1,000 waiting tasks in steps of 20 of which a quarter of the
-workers may run each, and some ends before each pass, as on the cells of the
-users' fourth letter. Orders and the journal are left out.
+As on the users' cells, workers are nearly full, 1,000 tasks wait in steps of
+20, a quarter of the workers is permitted for each step, and some runs end
+before each pass. Orders to workers and the journal are left out.
 """
 
 from __future__ import annotations
@@ -41,16 +41,16 @@
 )  # fmt: skip
 _WAITING_TASKS = 1000
 _STEP_TASKS = 20
-_GOOD_SHARE = 0.25
-#: Ends before each pass, and passes measured.
-_ENDS = 6
-_PASSES = 300
+_PERMITTED_SHARE = 0.25
+#: Runs that end before each pass.
+_ENDS_PER_PASS = 6
+_MEASURED_PASSES = 300
 _CORES = 64
 _PERCENT = 100
 
 
-class _Runs:
-    """Takes room as the tracker of runs does, and orders nothing."""
+class _FakeRunTracker:
+    """Allocates capacity as the run tracker does, but sends no orders."""
 
     def __init__(self, state: ShardState) -> None:
         self.placed: list[tuple[TrackedWorker, RunKey]] = []
@@ -76,7 +76,7 @@
         self.state = ShardState(
             cast('Any', writer), time.monotonic, time.time, InstanceMetrics()
         )
-        self.runs = _Runs(self.state)
+        self.runs = _FakeRunTracker(self.state)
         self.placer = Placer(
             self.state,
             cast('Any', self.runs),
@@ -95,7 +95,7 @@
         self.state.tracked_by_worker[session.worker] = TrackedWorker(session)
 
     def add_job(self) -> None:
-        """Add a step about all of whose workers the service was asked."""
+        """Add a job whose step has advice for all workers."""
         self.jobs += 1
         cores = self.random.randint(10, 26)
         step = StepSpec(_STEP_TASKS, Size(cores * 1000, 1), estimate=6)
@@ -109,16 +109,20 @@
         record = JobRecord(queue, JobSpec('', (step,)), time.time())
         job = Job(JobId(f'{self.jobs:016x}'), record)
         waiting = next(job.open_steps(0))
-        every = list(self.state.tracked_by_worker)
-        good = self.random.sample(every, max(1, int(_GOOD_SHARE * len(every))))
-        tickets = {WorkerId(worker): 't' for worker in good}
-        waiting.permits.record_advice(every, tickets, time.monotonic() + 1e6)
+        all_workers = list(self.state.tracked_by_worker)
+        permitted = self.random.sample(
+            all_workers, max(1, int(_PERMITTED_SHARE * len(all_workers)))
+        )
+        tickets = {WorkerId(worker): 't' for worker in permitted}
+        waiting.permits.record_advice(
+            all_workers, tickets, time.monotonic() + 1e6
+        )
         self.state.job_by_id[job.job_id] = job
         self.state.changed_jobs.add(job.job_id)
 
-    def end_some(self) -> None:
-        """End some runs, the oldest of them somewhere at random."""
-        for _ in range(min(_ENDS, len(self.runs.placed))):
+    def end_runs(self) -> None:
+        """End some randomly chosen runs."""
+        for _ in range(min(_ENDS_PER_PASS, len(self.runs.placed))):
             index = self.random.randrange(len(self.runs.placed))
             tracked, key = self.runs.placed.pop(index)
             run = tracked.release(key)
@@ -132,7 +136,7 @@
 
 
 def measure(workers: int) -> dict[str, float]:
-    """Return what passes take at a size, in microseconds and milliseconds."""
+    """Return pass durations and the mean time per task placed."""
     cell = _Cell(workers, Random(1))
     while True:
         while cell.placer.waiting_tasks() < _WAITING_TASKS:
@@ -145,15 +149,15 @@
     passes: list[Seconds] = []
     placed = 0
     gc.collect()
-    for _ in range(_PASSES):
-        cell.end_some()
+    for _ in range(_MEASURED_PASSES):
+        cell.end_runs()
         while cell.placer.waiting_tasks() < _WAITING_TASKS:
             cell.add_job()
             cell.placer._refresh()
         before = len(cell.runs.placed)
-        began = time.process_time()
+        started = time.process_time()
         cell.placer.place_all()
-        passes.append(time.process_time() - began)
+        passes.append(time.process_time() - started)
         placed += len(cell.runs.placed) - before
     return {
         'pass_mean_ms': 1000 * statistics.fmean(passes),
@@ -163,7 +167,7 @@
 
 
 def main(*sizes: int) -> None:
-    """Print a row for each size of cell."""
+    """Print a row for each number of workers."""
     for workers in sizes or (24, 270, 1400):
         row = measure(workers)
         print(workers, {name: round(value, 2) for name, value in row.items()})
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,6 +1,7 @@
-"""Control cost of real processes: processor time and bytes, idle and loaded.
+"""Overhead of real processes: processor time, memory and traffic.
 
-Part of ``make bench``. Runs the cell of ``make demo`` on loopback.
+Part of ``make bench``. Runs the cell of ``make demo`` on loopback, first idle
+and then under load.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 from tools.callers import Caller
 from tools.cell import Cell, open_cell, small_bundle
 
-_TICKS = 100
-_SETTLE = 5.0
+_TICKS_PER_SECOND = 100
+_SETTLE_SECONDS = 5.0
 _PROMETHEUS_NAME = 'orchidrail_wire_bytes{'
 
 
 def _processor_seconds(pid: int) -> float:
     fields = pathlib.Path(f'/proc/{pid}/stat').read_text().split()
-    return (int(fields[13]) + int(fields[14])) / _TICKS
+    return (int(fields[13]) + int(fields[14])) / _TICKS_PER_SECOND
 
 
 def _resident_mb(pid: int) -> float:
@@ -34,13 +35,13 @@
 
 
 class Meter:
-    """Reads the daemons' processor time and the schedulers' bytes."""
+    """Reads the daemons' processor time and memory, and wire traffic."""
 
     def __init__(self, cell: Cell) -> None:
         self._cell = cell
 
     def processor(self) -> dict[str, float]:
-        """Return processor seconds by daemon."""
+        """Return the processor seconds of each daemon."""
         return {
             name: _processor_seconds(process.process.pid)
             for name, process in self._cell.by_name.items()
@@ -48,52 +49,52 @@
         }
 
     def memory(self) -> dict[str, float]:
-        """Return resident megabytes by daemon."""
+        """Return the resident megabytes of each daemon."""
         return {
             name: _resident_mb(process.process.pid)
             for name, process in self._cell.by_name.items()
             if name.startswith(('scheduler', 'gateway'))
         }
 
-    async def sent(self) -> float:
-        """Return bytes that the schedulers have sent and received."""
+    async def wire_bytes(self) -> float:
+        """Return the bytes that all schedulers have sent and received."""
         total = 0.0
         async with httpx.AsyncClient(trust_env=False) as client:
             for address in self._cell.metrics.values():
-                answer = await client.get(f'http://{address}/metrics')
+                response = await client.get(f'http://{address}/metrics')
                 total += sum(
                     float(line.rsplit(' ', 1)[1])
-                    for line in answer.text.splitlines()
+                    for line in response.text.splitlines()
                     if line.startswith(_PROMETHEUS_NAME)
                 )
         return total
 
-    async def over(self, seconds: float) -> dict[str, float]:
-        """Return shares of a core and bytes a second over some time."""
-        before, bytes_before = self.processor(), await self.sent()
+    async def measure_rates(self, seconds: float) -> dict[str, float]:
+        """Return processor use, bytes per second and memory over an interval."""
+        before, bytes_before = self.processor(), await self.wire_bytes()
         started = time.monotonic()
         await asyncio.sleep(seconds)
         spent = time.monotonic() - started
-        after, bytes_after = self.processor(), await self.sent()
+        after, bytes_after = self.processor(), await self.wire_bytes()
         shares = {name: (after[name] - before[name]) / spent for name in before}
-        schedulers = _of(shares, 'scheduler')
-        gateways = _of(shares, 'gateway')
+        schedulers = _values_of_kind(shares, 'scheduler')
+        gateways = _values_of_kind(shares, 'gateway')
         return {
             'scheduler_core_pct': 100 * sum(schedulers) / len(schedulers),
             'gateway_core_pct': 100 * sum(gateways) / len(gateways),
             'scheduler_bytes_s': (bytes_after - bytes_before)
             / spent
             / len(schedulers),
-            'scheduler_mb': max(_of(self.memory(), 'scheduler')),
-            'gateway_mb': max(_of(self.memory(), 'gateway')),
+            'scheduler_mb': max(_values_of_kind(self.memory(), 'scheduler')),
+            'gateway_mb': max(_values_of_kind(self.memory(), 'gateway')),
         }
 
 
-def _of(shares: dict[str, float], kind: str) -> list[float]:
+def _values_of_kind(shares: dict[str, float], kind: str) -> list[float]:
     return [share for name, share in shares.items() if name.startswith(kind)]
 
 
-async def _load(caller: Caller, rate: float, seconds: float) -> None:
+async def _send_requests(caller: Caller, rate: float, seconds: float) -> None:
     async with asyncio.TaskGroup() as group:
         end = time.monotonic() + seconds
         number = 0
@@ -106,19 +107,19 @@
 
 
 async def measure(seconds: float, rate: float) -> dict[str, dict[str, float]]:
-    """Measure an idle cell and one under short requests."""
+    """Measure an idle cell, then the same cell under short requests."""
     async with AsyncExitStack() as stack:
         cell = await open_cell(stack)
         await cell.publish(small_bundle(cell))
         await cell.wait_serving()
-        await asyncio.sleep(_SETTLE)
+        await asyncio.sleep(_SETTLE_SECONDS)
         meter = Meter(cell)
-        rows = {'idle': await meter.over(seconds)}
+        rows = {'idle': await meter.measure_rates(seconds)}
         caller = Caller(cell.all_gateways(), cell.tenant_key)
         stack.push_async_callback(caller.close)
-        loading = asyncio.create_task(_load(caller, rate, seconds + 2))
+        loading = asyncio.create_task(_send_requests(caller, rate, seconds + 2))
         await asyncio.sleep(1)
-        rows[f'{rate:.0f} requests/s'] = await meter.over(seconds)
+        rows[f'{rate:.0f} requests/s'] = await meter.measure_rates(seconds)
         await loading
         for row in caller.tally.rows():
             sys.stdout.write('| ' + ' | '.join(row) + ' |\n')
--- a/benchmarks/replay.py
+++ b/benchmarks/replay.py
@@ -1,4 +1,4 @@
-"""Replays a list of arrivals over a decider: one heap of events, no I/O."""
+"""Discrete-event simulation of arrivals at a scheduler, without I/O."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from orchidrail.leasing.ledger import Proof
 from orchidrail.types import Seconds, TaskId, WorkerId
 
-_HOUSEKEEPING: Seconds = 0.05
-_RETRY_PAUSE: Seconds = 0.02
-_FAST_FAILURE: Seconds = 0.001
-_STOP_TAKES: Seconds = 0.2
+_HOUSEKEEPING_INTERVAL: Seconds = 0.05
+_RETRY_DELAY: Seconds = 0.02
+_FAILURE_DURATION: Seconds = 0.001
+_STOP_DURATION: Seconds = 0.2
 
 
 @dataclass
-class Work:
-    """An arrival: the item and how long it really runs."""
+class Arrival:
+    """An arriving item and its actual run time."""
 
     at: Seconds
     item: WorkItem
@@ -30,7 +30,7 @@
 
 @dataclass
 class Outcome:
-    """What came of a replay."""
+    """Results of a replay."""
 
     waits_by_class: dict[str, list[Seconds]] = field(
         default_factory=lambda: defaultdict(list),
@@ -38,7 +38,7 @@
     done_by_class: dict[str, int] = field(
         default_factory=lambda: defaultdict(int),
     )
-    late_by_class: dict[str, int] = field(
+    expired_by_class: dict[str, int] = field(
         default_factory=lambda: defaultdict(int),
     )
     used_by_tenant: dict[str, float] = field(
@@ -46,7 +46,7 @@
     )
     failures: int = 0
     preempted: int = 0
-    #: Mean share of the dominant resource in use between two moments.
+    #: Mean share of the dominant resource in use over the measured interval.
     packing: float = 0
 
     def quantile(self, class_name: str, share: float) -> Seconds:
@@ -58,76 +58,88 @@
 
 
 class Replay:
-    """One run of arrivals over a decider.
+    """Simulates the arrivals at one scheduler.
 
     Parameters
     ----------
     decider : object
-        As in ``benchmarks.baselines``.
-    works : list of Work
+        Has the interface of the classes in ``benchmarks.baselines``.
+    arrivals : list of Work
         Sorted by arrival.
-    bad_workers : set of WorkerId
-        Fail everything at once.
+    failing_workers : set of WorkerId
+        Workers that fail every task after 1 ms.
+    load : callable, optional
+        Returns the share of resources in use, sampled for the packing.
     measure : tuple of float
-        Moments between which packing is measured.
+        Start and end in seconds of the interval that is measured.
     """
 
     def __init__(
         self,
         decider,  # type: ignore[no-untyped-def]
-        works: list[Work],
-        bad_workers: frozenset[WorkerId] = frozenset(),
+        arrivals: list[Arrival],
+        failing_workers: frozenset[WorkerId] = frozenset(),
         load: Callable[[], float] | None = None,
         measure: tuple[Seconds, Seconds] = (0, 0),
     ) -> None:
         self.outcome = Outcome()
         self._decider = decider
-        self._bad = bad_workers
-        self._work_by_key = {work.item.key: work for work in works}
-        self._numbers = itertools.count()
+        self._failing_workers = failing_workers
+        self._arrival_by_key = {
+            arrival.item.key: arrival for arrival in arrivals
+        }
+        self._sequence = itertools.count()
         self._events: list[tuple[Seconds, int, Callable[[Seconds], None]]] = []
         self._load = load
         self._measure = measure
         self._samples: list[float] = []
         self._running: dict[TaskId, tuple[WorkItem, WorkerId, Seconds]] = {}
-        for work in works:
-            self._at(work.at, lambda now, work=work: self._arrive(work, now))
+        for arrival in arrivals:
+            self._schedule(
+                arrival.at,
+                lambda now, arrival=arrival: self._arrive(arrival, now),
+            )
 
     def run(self, until: Seconds) -> Outcome:
-        """Run to a moment."""
-        self._at(0, self._keep_house)
+        """Run the simulation until a time in seconds."""
+        self._schedule(0, self._run_housekeeping)
         while self._events and self._events[0][0] <= until:
             now, _, event = heapq.heappop(self._events)
             event(now)
         for item, _, since in self._running.values():
-            self._count_use(item, since, until)
+            self._add_usage(item, since, until)
         if self._samples:
             self.outcome.packing = sum(self._samples) / len(self._samples)
         return self.outcome
 
-    def _at(self, at: Seconds, event: Callable[[Seconds], None]) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), event))
+    def _schedule(self, at: Seconds, event: Callable[[Seconds], None]) -> None:
+        heapq.heappush(self._events, (at, next(self._sequence), event))
 
-    def _arrive(self, work: Work, now: Seconds) -> None:
-        work.item.queued_at = now
-        self._start(self._decider.offer(work.item, now), now)
+    def _arrive(self, arrival: Arrival, now: Seconds) -> None:
+        arrival.item.queued_at = now
+        self._start(self._decider.offer(arrival.item, now), now)
 
     def _start(self, placed: list[Placed], now: Seconds) -> None:
-        for one in placed:
-            work = self._work_by_key[one.item.key]
-            work.attempts += 1
-            failing = any(place.worker in self._bad for place in one.places)
-            seconds = _FAST_FAILURE if failing else work.seconds
+        for placement in placed:
+            arrival = self._arrival_by_key[placement.item.key]
+            arrival.attempts += 1
+            failing = any(
+                place.worker in self._failing_workers
+                for place in placement.places
+            )
+            seconds = _FAILURE_DURATION if failing else arrival.seconds
             if not failing:
-                wait = now - work.at
-                self.outcome.waits_by_class[one.item.class_name].append(wait)
-            for index, place in enumerate(one.places):
-                key = member_key(one.item, index)
-                self._running[key] = (one.item, place.worker, now)
-            self._at(
+                wait = now - arrival.at
+                self.outcome.waits_by_class[placement.item.class_name].append(
+                    wait
+                )
+            for index, place in enumerate(placement.places):
+                key = member_key(placement.item, index)
+                self._running[key] = (placement.item, place.worker, now)
+            self._schedule(
                 now + seconds,
-                lambda at, one=one, failing=failing: self._end(
-                    one, failing, at
+                lambda at, placement=placement, failing=failing: self._end(
+                    placement, failing, at
                 ),
             )
 
@@ -135,28 +147,30 @@
         item = placed.item
         for index, place in enumerate(placed.places):
             key = member_key(item, index)
-            known = self._running.pop(key, None)
-            if known is None:
+            started_run = self._running.pop(key, None)
+            if started_run is None:
                 return
-            self._count_use(item, known[2], now)
+            self._add_usage(item, started_run[2], now)
             self._decider.end(place.worker, key, ok=not failing, now=now)
         if failing:
             self.outcome.failures += 1
-            work = self._work_by_key[item.key]
+            arrival = self._arrival_by_key[item.key]
             item.avoid |= {place.worker for place in placed.places}
-            self._at(now + _RETRY_PAUSE, lambda at: self._arrive(work, at))
+            self._schedule(
+                now + _RETRY_DELAY, lambda at: self._arrive(arrival, at)
+            )
         else:
             self.outcome.done_by_class[item.class_name] += 1
         self._start(self._decider.pump(now), now)
 
-    def _count_use(self, item: WorkItem, since: Seconds, now: Seconds) -> None:
+    def _add_usage(self, item: WorkItem, since: Seconds, now: Seconds) -> None:
         counted = max(0, now - max(since, self._measure[0]))
         used = item.size.cores * counted
         self.outcome.used_by_tenant[item.tenant] += used
 
-    def _keep_house(self, now: Seconds) -> None:
-        for late in self._decider.expired(now):
-            self.outcome.late_by_class[late.class_name] += 1
+    def _run_housekeeping(self, now: Seconds) -> None:
+        for expired_item in self._decider.expired(now):
+            self.outcome.expired_by_class[expired_item.class_name] += 1
         engine = getattr(self._decider, 'engine', None)
         if isinstance(engine, Engine):
             engine.refresh_standing(now)
@@ -165,26 +179,26 @@
         self._start(self._decider.pump(now), now)
         if self._load and self._measure[0] <= now <= self._measure[1]:
             self._samples.append(self._load())
-        self._at(now + _HOUSEKEEPING, self._keep_house)
+        self._schedule(now + _HOUSEKEEPING_INTERVAL, self._run_housekeeping)
 
     def _preempt(self, engine: Engine, now: Seconds) -> None:
         plan = engine.preempt_for(now)
         if plan is None:
             return
         for victim in plan.victims:
-            self._at(
-                now + _STOP_TAKES,
+            self._schedule(
+                now + _STOP_DURATION,
                 lambda at, victim=victim: self._stop(engine, victim, at),
             )
 
     def _stop(self, engine: Engine, victim, now: Seconds) -> None:  # type: ignore[no-untyped-def]
-        known = self._running.pop(victim.task, None)
-        if known is None:
+        started_run = self._running.pop(victim.task, None)
+        if started_run is None:
             return
         self.outcome.preempted += 1
         engine.give_back(victim.worker, victim.task, Proof.ENDED)
-        # It goes on from its checkpoint.
-        work = self._work_by_key[known[0].key]
-        work.seconds = max(0.1, work.seconds - (now - known[2]))
-        self._arrive(work, now)
+        # The task resumes from its checkpoint.
+        arrival = self._arrival_by_key[started_run[0].key]
+        arrival.seconds = max(0.1, arrival.seconds - (now - started_run[2]))
+        self._arrive(arrival, now)
         self._start(self._decider.pump(now), now)
