--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Programs that start processes, generate files or measure."""
+"""Development tools: process cells, generators and measurements."""
--- a/tools/callers.py
+++ b/tools/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the demo and the prove run: send, wait, remember, judge."""
+"""Client of the demo and proving runs, and a check of its results."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class Sent:
-    """One request or job and what became of it."""
+    """One request or job and its outcome."""
 
     class_name: str
     key: str = ''
@@ -30,13 +30,13 @@
 
     @property
     def task(self) -> str:
-        """The task's identity at the workers, for keyed requests."""
+        """ID of the task or job at the workers, without the key's suffix."""
         return self.key.split('.')[0]
 
 
 @dataclass
 class Tally:
-    """All that was sent."""
+    """All requests and jobs that were sent."""
 
     sent: list[Sent] = field(default_factory=list)
 
@@ -48,7 +48,7 @@
         return [_row(name, entries) for name, entries in by_class.items()]
 
     def count(self, verdict: str) -> int:
-        """Return how many had a verdict."""
+        """Return how many entries have a verdict."""
         return sum(entry.verdict == verdict for entry in self.sent)
 
 
@@ -69,7 +69,7 @@
 
 
 class Caller:
-    """Sends requests to gateways in turn, as a balancer would."""
+    """Sends requests to the gateways round-robin, as a load balancer."""
 
     def __init__(self, gateways: list[str], tenant_key: str) -> None:
         self.tally = Tally()
@@ -93,7 +93,7 @@
         *,
         keyed: bool,
     ) -> Sent:
-        """Send one short request, taking a new key after each refusal."""
+        """Send one short request, with a new key if `keyed`."""
         entry = Sent(class_name)
         self.tally.sent.append(entry)
         started = time.monotonic()
@@ -102,7 +102,7 @@
             'payload': {'seconds': seconds},
         }
         if keyed:
-            entry.key = await self._key(class_name, entry)
+            entry.key = await self._issue_key(class_name, entry)
             if not entry.key:
                 return entry
             body['key'] = entry.key
@@ -117,10 +117,10 @@
         count: int = 1,
         size: dict[str, float] | None = None,
     ) -> Sent:
-        """Submit a job and follow it to its end."""
+        """Submit a job and poll it until it ends."""
         entry = Sent(class_name, count=count)
         self.tally.sent.append(entry)
-        entry.key = await self._key(class_name, entry)
+        entry.key = await self._issue_key(class_name, entry)
         if not entry.key:
             return entry
         body: dict[str, Any] = {
@@ -134,22 +134,22 @@
         started = time.monotonic()
         await self._send(entry, '/v1/jobs', body)
         if entry.verdict == 'ran':
-            await self._follow(entry)
+            await self._poll_job(entry)
             entry.wait = max(0, time.monotonic() - started - seconds)
         return entry
 
-    async def _key(self, class_name: str, entry: Sent) -> str:
+    async def _issue_key(self, class_name: str, entry: Sent) -> str:
         answer = await self._post('/v1/keys', {'class': class_name})
         if answer is None or answer.status_code != 200:
-            _note(entry, answer)
+            _record_response(entry, answer)
             return ''
         return str(answer.json()['key'])
 
     async def _send(self, entry: Sent, path: str, body: Any) -> None:
         answer = await self._post(path, body)
-        _note(entry, answer)
+        _record_response(entry, answer)
 
-    async def _follow(self, entry: Sent) -> None:
+    async def _poll_job(self, entry: Sent) -> None:
         state = ''
         while state not in _FINAL:
             path = f'/v1/jobs/{entry.task}?wait=5&state={state}'
@@ -179,7 +179,7 @@
         return f'http://{gateway}{path}'
 
 
-def _note(entry: Sent, answer: httpx.Response | None) -> None:
+def _record_response(entry: Sent, answer: httpx.Response | None) -> None:
     if answer is None:
         entry.verdict = 'mayHaveRun'
         return
@@ -192,14 +192,14 @@
 
 @dataclass
 class Judgement:
-    """What the workers' own journals say of what was sent."""
+    """Lost and duplicated work, by the workers' journals."""
 
     lost: list[str] = field(default_factory=list)
     doubled: list[str] = field(default_factory=list)
 
 
 def judge(tally: Tally, journal: list[dict[str, Any]]) -> Judgement:
-    """Compare what callers were told with what the workers did."""
+    """Compare the responses to callers with the workers' journals."""
     judgement = Judgement()
     starts = Counter(
         entry['task'] for entry in journal if entry['event'] == 'start'
@@ -221,10 +221,10 @@
     jobs: Counter[str],
     judgement: Judgement,
 ) -> None:
-    known = starts[entry.task] + jobs[entry.task] if entry.task else 0
-    if entry.verdict == 'notRun' and known:
+    run_count = starts[entry.task] + jobs[entry.task] if entry.task else 0
+    if entry.verdict == 'notRun' and run_count:
         judgement.doubled.append(f'{entry.key} was refused but ran')
-    if entry.state == 'done' and known < entry.count:
+    if entry.state == 'done' and run_count < entry.count:
         judgement.lost.append(f'{entry.key} is done but did not run whole')
-    if entry.verdict == 'ran' and entry.key and not known:
+    if entry.verdict == 'ran' and entry.key and not run_count:
         judgement.lost.append(f'{entry.key} was accepted but never ran')
--- a/tools/capacity.py
+++ b/tools/capacity.py
@@ -1,4 +1,4 @@
-"""``make capacity``: measures slopes and writes docs/CAPACITY.md from them.
+"""``make capacity``: measures unit costs and writes docs/CAPACITY.md.
 
 Every figure of the page comes from the JSON file of the same run.
 """
@@ -64,8 +64,8 @@
 from standins.model.loop import VirtualLoop
 
 ROOT = pathlib.Path(__file__).parents[1]
-#: The size to design for, as the users' first letter gives it.
-SIZE = {
+#: Size and load that the users require.
+DESIGN_LOAD = {
     'workers': 32_000,
     'jobs_a_day': 230_000,
     'starts_a_second': 5_000,
@@ -77,19 +77,19 @@
 LIMITS = {'core_share': 0.023, 'memory_mb': 256, 'bytes_a_second': 5_000}
 _DAY = 86_400
 _UUID = '0192f1c0-1a2b-7000-8000-000000000000'
-_SIZE = Resources(4, 8)
+_TASK_SIZE = Resources(4, 8)
 
 
 def _memory(build: Callable[[int], object], count: int) -> float:
-    """Return bytes for each of `count` things that `build` makes."""
+    """Return the bytes per object of the `count` that `build` creates."""
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    kept = build(count)
+    built = build(count)
     gc.collect()
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del built
     return (after - before) / count
 
 
@@ -110,7 +110,7 @@
     engine = make_engine(1)
     for number in range(count):
         name = TaskId(f'{_UUID}#{number}#0.1')
-        engine.offer(WorkItem(name, TENANT, ClassName('stack'), _SIZE), 0)
+        engine.offer(WorkItem(name, TENANT, ClassName('stack'), _TASK_SIZE), 0)
     return engine
 
 
@@ -124,7 +124,7 @@
         witness_boot='0a1b2c3d',
         backup=WorkerId('w-2'),
         backup_boot='0a1b2c3d',
-        size=_SIZE,
+        size=_TASK_SIZE,
         payload='{"plate": 12345}',
     )
     return encode_record(JobAccepted(job=spec))
@@ -147,7 +147,7 @@
 
 
 def measure_memory() -> dict[str, float]:
-    """Return bytes for each thing that a daemon keeps."""
+    """Return the bytes of each kind of object that a daemon keeps."""
     return {
         'worker': _memory(_build_workers, 2_000),
         'running task': _memory(_build_tasks, 10_000),
@@ -162,7 +162,7 @@
         key=TaskId(f'{_UUID}#0#0.1'),
         state=state,
         job=JobId(_UUID),
-        size=_SIZE,
+        size=_TASK_SIZE,
         tenant=TENANT,
         class_name=ClassName('stack'),
     )
@@ -173,7 +173,7 @@
         key=TaskId(f'{_UUID}#0#0.1'),
         tenant=TENANT,
         class_name=ClassName('stack'),
-        size=_SIZE,
+        size=_TASK_SIZE,
         payload='{"plate": 12345}',
         ttl=60,
         job=JobId(_UUID),
@@ -188,12 +188,12 @@
         incarnation=1_700_000_000_000,
         beat=100,
         bundle=BundleVersion(7),
-        largest_free=_SIZE,
+        largest_free=_TASK_SIZE,
     )
 
 
 def messages() -> dict[str, Message]:
-    """Return the periodic and per-task messages as they are sent."""
+    """Return samples of the periodic and the per-task messages."""
     digests = [
         ZoneDigest(
             zone=ZoneId(f'zone-{number}'),
@@ -203,7 +203,7 @@
             bundle=BundleVersion(7),
             contact='10.0.0.1:7000',  # type: ignore[arg-type]
         )
-        for number in range(SIZE['zones'])
+        for number in range(DESIGN_LOAD['zones'])
     ]
     renewal = RenewLease(
         holder=SchedulerId('scheduler-1'),
@@ -213,7 +213,9 @@
     )
     return {
         'RenewLease, idle': renewal,
-        'LeaseRenewed, idle': LeaseRenewed(sequence=100, tasks=[], used=_SIZE),
+        'LeaseRenewed, idle': LeaseRenewed(
+            sequence=100, tasks=[], used=_TASK_SIZE
+        ),
         'LeaseRenewed, one end': LeaseRenewed(sequence=100, tasks=[_report()]),
         'StartTasks, one task': StartTasks(
             tasks=[_start_spec()],
@@ -234,7 +236,7 @@
         'GrantRequest': GrantRequest(
             tenant=TENANT,
             class_name=ClassName('tag-check'),
-            size=_SIZE,
+            size=_TASK_SIZE,
             patience=10,
         ),
         'Grant': Grant(
@@ -256,7 +258,7 @@
 
 
 def measure_messages() -> dict[str, dict[str, float]]:
-    """Return encoded bytes and microseconds to encode and decode."""
+    """Return frame sizes, and times to encode and decode in microseconds."""
     rows = {}
     for name, message in messages().items():
         frame = encode(1, message)
@@ -269,7 +271,7 @@
 
 
 def _time(call: Callable[[], object], count: int = 3_000) -> float:
-    """Return microseconds of processor time a call."""
+    """Return the processor time per call in microseconds."""
     call()
     started = time.process_time()
     for _ in range(count):
@@ -287,7 +289,7 @@
     await asyncio.sleep(0)
     cell = VirtualCell(1)
     cell.publish(bundle_change(cell))
-    tenants = _build_tenants(SIZE['tenants'])
+    tenants = _build_tenants(DESIGN_LOAD['tenants'])
     raw = msgspec.to_builtins(tenants)['tenants']
     cell.publish([{'op': 'replace', 'path': '/tenants', 'value': raw}])
     fold = cell.fold()
@@ -302,10 +304,10 @@
         copy = BundleFold(Bundle(operators=cell.operators))
         copy.adopt(fold.snapshot(), fold.offset)  # type: ignore[arg-type]
         folds.append(copy)
-    where = LogRecord(Offset(99), 0, payload)
+    log_record = LogRecord(Offset(99), 0, payload)
     started = time.process_time()
     for copy in folds:
-        copy.apply(where)
+        copy.apply(log_record)
     spent = (time.process_time() - started) / len(folds) * 1e6
     return {
         'change_bytes': len(payload),
@@ -315,7 +317,7 @@
 
 
 def measure_poll() -> dict[str, float]:
-    """Return bytes of an empty poll of the log over HTTP, as composed."""
+    """Return the computed HTTP bytes of a log poll without records."""
     request = httpx.Client(trust_env=False).build_request(
         'GET',
         'http://10.0.0.1:9000/streams/bundle?start=100000&limit=500',
@@ -339,7 +341,7 @@
 
 
 def measure() -> dict[str, Any]:
-    """Measure all slopes."""
+    """Measure all unit costs."""
     process = measure_process()
     return {
         'process': process,
@@ -352,16 +354,16 @@
     }
 
 
-def work_out(slopes: dict[str, Any]) -> dict[str, Any]:
-    """Work the needs of one zone out of the slopes."""
+def compute_needs(unit_costs: dict[str, Any]) -> dict[str, Any]:
+    """Compute the needs of one zone from the unit costs."""
     zone: dict[str, float] = {
-        'workers': SIZE['workers'] / SIZE['zones'],
-        'starts': SIZE['starts_a_second'] / SIZE['zones'],
-        'running': SIZE['tasks_running'] / SIZE['zones'],
-        'open_jobs': SIZE['jobs_a_day'] / SIZE['zones'] / 24,
-        'changes': SIZE['changes_a_day'] / _DAY,
+        'workers': DESIGN_LOAD['workers'] / DESIGN_LOAD['zones'],
+        'starts': DESIGN_LOAD['starts_a_second'] / DESIGN_LOAD['zones'],
+        'running': DESIGN_LOAD['tasks_running'] / DESIGN_LOAD['zones'],
+        'open_jobs': DESIGN_LOAD['jobs_a_day'] / DESIGN_LOAD['zones'] / 24,
+        'changes': DESIGN_LOAD['changes_a_day'] / _DAY,
     }
-    rows = slopes['messages']
+    rows = unit_costs['messages']
     renewal_us = (
         rows['RenewLease, idle']['encode_us']
         + rows['LeaseRenewed, idle']['decode_us']
@@ -369,19 +371,19 @@
     renewal_bytes = (
         rows['RenewLease, idle']['bytes'] + rows['LeaseRenewed, idle']['bytes']
     )
-    start_us = _per_start(rows, 'us') + slopes['decision_us']
+    start_us = _per_start(rows, 'us') + unit_costs['decision_us']
     start_bytes = _per_start(rows, 'bytes')
     plans = [
         _plan(
-            slopes,
+            unit_costs,
             zone,
-            every,
+            renewal_interval,
             renewal_us,
             renewal_bytes,
             start_us,
             start_bytes,
         )
-        for every in (1, 5, 15)
+        for renewal_interval in (1, 5, 15)
     ]
     return {
         'zone': zone,
@@ -394,9 +396,9 @@
 
 
 def _per_start(rows: dict[str, dict[str, float]], unit: str) -> float:
-    """Return the cost of one job task: two claims, the start, its end.
+    """Return the cost of one job task: two claims, its start and its end.
 
-    Claims and starts of one moment go in messages of 16.
+    Concurrent claims and starts are sent in messages of 16.
     """
     keys = ('encode_us', 'decode_us') if unit == 'us' else ('bytes', 'bytes')
     sixteenth = (
@@ -410,45 +412,52 @@
 
 
 def _plan(
-    slopes: dict[str, Any],
+    unit_costs: dict[str, Any],
     zone: dict[str, float],
-    every: float,
+    renewal_interval: float,
     renewal_us: float,
     renewal_bytes: float,
     start_us: float,
     start_bytes: float,
 ) -> dict[str, float]:
     """Return how many schedulers a zone needs at a renewal interval."""
-    rows = slopes['messages']
+    rows = unit_costs['messages']
     gossip = rows['Gossip, 6 members']
-    # Each second one exchange is begun and one answered: four frames.
+    # Each second a scheduler starts one gossip exchange and answers another:
+    # four frames.
     fixed_us = 4 * (gossip['encode_us'] + gossip['decode_us'])
-    fixed_us += zone['changes'] * slopes['bundle']['fold_us']
-    poll = slopes['poll']['request_bytes'] + slopes['poll']['answer_bytes']
+    fixed_us += zone['changes'] * unit_costs['bundle']['fold_us']
+    poll = (
+        unit_costs['poll']['request_bytes'] + unit_costs['poll']['answer_bytes']
+    )
     fixed_bytes = 4 * gossip['bytes'] + 3 * poll
-    fixed_bytes += zone['changes'] * slopes['bundle']['change_bytes']
-    moving_us = zone['workers'] / every * renewal_us + zone['starts'] * start_us
-    moving_bytes = (
-        zone['workers'] / every * renewal_bytes + zone['starts'] * start_bytes
+    fixed_bytes += zone['changes'] * unit_costs['bundle']['change_bytes']
+    variable_us = (
+        zone['workers'] / renewal_interval * renewal_us
+        + zone['starts'] * start_us
+    )
+    variable_bytes = (
+        zone['workers'] / renewal_interval * renewal_bytes
+        + zone['starts'] * start_bytes
     )
-    core_room = LIMITS['core_share'] * 1e6 - fixed_us
-    byte_room = LIMITS['bytes_a_second'] - fixed_bytes
-    by_core = math.ceil(moving_us / core_room) if core_room > 0 else 0
-    by_bytes = math.ceil(moving_bytes / byte_room) if byte_room > 0 else 0
+    core_budget = LIMITS['core_share'] * 1e6 - fixed_us
+    byte_budget = LIMITS['bytes_a_second'] - fixed_bytes
+    by_core = math.ceil(variable_us / core_budget) if core_budget > 0 else 0
+    by_bytes = math.ceil(variable_bytes / byte_budget) if byte_budget > 0 else 0
     count = max(by_core, by_bytes, 1)
-    kept = slopes['memory_bytes']
+    bytes_by_item = unit_costs['memory_bytes']
     memory = (
-        slopes['process']['resident_mb']
+        unit_costs['process']['resident_mb']
         + (
-            zone['workers'] / count * kept['worker']
-            + zone['running'] / count * kept['running task']
-            + zone['open_jobs'] * kept['open job']
-            + SIZE['tenants'] * kept['tenant']
+            zone['workers'] / count * bytes_by_item['worker']
+            + zone['running'] / count * bytes_by_item['running task']
+            + zone['open_jobs'] * bytes_by_item['open job']
+            + DESIGN_LOAD['tenants'] * bytes_by_item['tenant']
         )
         / 1e6
     )
     return {
-        'renewal_s': every,
+        'renewal_s': renewal_interval,
         'fixed_core_pct': fixed_us / 1e4,
         'fixed_bytes': fixed_bytes,
         'by_core': by_core,
@@ -459,8 +468,8 @@
 
 def main() -> None:
     """Measure, write the JSON file and render the page."""
-    slopes = measure()
-    document = {'slopes': slopes, 'needs': work_out(slopes)}
+    unit_costs = measure()
+    document = {'slopes': unit_costs, 'needs': compute_needs(unit_costs)}
     out = ROOT / 'out'
     out.mkdir(exist_ok=True)
     (out / 'capacity.json').write_text(json.dumps(document, indent=1))
@@ -471,14 +480,14 @@
 
 
 def render(template: str, document: dict[str, Any]) -> str:
-    """Put the figures of a run into the page's template."""
-    slopes, needs = document['slopes'], document['needs']
+    """Fill the page template with the figures of a run."""
+    unit_costs, needs = document['slopes'], document['needs']
     tables = {
         'MEMORY': _table(
             ('thing', 'bytes'),
             [
                 (name, f'{size:.0f}')
-                for name, size in slopes['memory_bytes'].items()
+                for name, size in unit_costs['memory_bytes'].items()
             ],
         ),
         'MESSAGES': _table(
@@ -490,7 +499,7 @@
                     f'{row["encode_us"]:.0f}',
                     f'{row["decode_us"]:.0f}',
                 )
-                for name, row in slopes['messages'].items()
+                for name, row in unit_costs['messages'].items()
             ],
         ),
         'ZONE': _table(
@@ -520,18 +529,18 @@
         ),
     }
     figures = {
-        'DECISION_US': f'{slopes["decision_us"]:.0f}',
+        'DECISION_US': f'{unit_costs["decision_us"]:.0f}',
         'RENEWAL_US': f'{needs["renewal_us"]:.0f}',
         'RENEWAL_BYTES': f'{needs["renewal_bytes"]:.0f}',
         'START_US': f'{needs["start_us"]:.0f}',
         'START_BYTES': f'{needs["start_bytes"]:.0f}',
         'START_KB': f'{needs["zone"]["starts"] * needs["start_bytes"] / 1e3:.0f}',
-        'RESIDENT_MB': f'{slopes["process"]["resident_mb"]:.0f}',
-        'CHANGE_BYTES': f'{slopes["bundle"]["change_bytes"]:.0f}',
-        'WHOLE_BYTES': f'{slopes["bundle"]["whole_bytes"]:.0f}',
-        'FOLD_US': f'{slopes["bundle"]["fold_us"]:.0f}',
-        'POLL_BYTES': f'{sum(slopes["poll"].values()):.0f}',
-        'PYTHON': slopes['python'],
+        'RESIDENT_MB': f'{unit_costs["process"]["resident_mb"]:.0f}',
+        'CHANGE_BYTES': f'{unit_costs["bundle"]["change_bytes"]:.0f}',
+        'WHOLE_BYTES': f'{unit_costs["bundle"]["whole_bytes"]:.0f}',
+        'FOLD_US': f'{unit_costs["bundle"]["fold_us"]:.0f}',
+        'POLL_BYTES': f'{sum(unit_costs["poll"].values()):.0f}',
+        'PYTHON': unit_costs['python'],
     }
     for name, text in {**tables, **figures}.items():
         template = template.replace('{{' + name + '}}', text)
--- a/tools/cell.py
+++ b/tools/cell.py
@@ -1,6 +1,6 @@
-"""Starts a small cell of real processes on loopback, for trying it out.
+"""Starts a small cell of real processes on loopback.
 
-Only this file and its users start processes; the product's own never do.
+Only this module and its callers start processes; the daemons never do.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def free_address() -> str:
-    """Return an address on a port that the system has just given."""
+    """Return a loopback address with a port that was free a moment ago."""
     with socket.socket() as probe:
         probe.bind((_HOST, 0))
         return f'{_HOST}:{probe.getsockname()[1]}'
@@ -40,7 +40,7 @@
 
 @dataclass
 class Process:
-    """A process of the cell and the JSON lines that it writes."""
+    """A process of the cell and its JSON log lines."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -50,12 +50,12 @@
 
     @property
     def address(self) -> str:
-        """The address that it said it is ready on."""
+        """The address in its log line `ready`."""
         found = [line for line in self.lines if line.get('event') == 'ready']
         return str(found[0]['address'])
 
     async def read(self) -> None:
-        """Collect the lines until the process ends."""
+        """Collect log lines until the process closes its output."""
         stream = self.process.stdout
         while stream is not None and (raw := await stream.readline()):
             try:
@@ -69,12 +69,12 @@
 
 
 class Cell:
-    """Processes of two zones with the stand-ins.
+    """Processes of two zones, with stand-ins for platform and workers.
 
     Parameters
     ----------
     folder : Path
-        Where the settings files go.
+        Folder for the settings files.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
@@ -92,7 +92,7 @@
         self._make_operators()
 
     async def start(self, timings: dict[str, float] | None = None) -> None:
-        """Start everything and wait until it is ready."""
+        """Start all processes and wait until they are ready."""
         platform = await self.spawn(
             'platform',
             'standin-platform',
@@ -110,7 +110,7 @@
             ]
         for zone in ZONES:
             await self._start_workers(zone)
-            await self._start_entries(zone, timings or {})
+            await self._start_schedulers_and_gateways(zone, timings or {})
         for process in self.by_name.values():
             await self._wait_ready(process)
         self._write_operator_settings()
@@ -130,7 +130,7 @@
                 self.platform,
             )
 
-    async def _start_entries(
+    async def _start_schedulers_and_gateways(
         self,
         zone: str,
         timings: dict[str, float],
@@ -139,7 +139,7 @@
             await self.start_scheduler(zone, number, timings)
             name = f'gateway-{zone}-{number}'
             settings = {
-                **self._common(name, zone, timings),
+                **self._common_settings(name, zone, timings),
                 'listen': self.gateways[zone][number],
                 'schedulers': self.scheduler_addresses[zone],
                 'foreignSchedulers': {
@@ -157,7 +157,7 @@
         number: int,
         timings: dict[str, float] | None = None,
     ) -> Process:
-        """Start one scheduler, at first or again."""
+        """Start or restart one scheduler."""
         name = f'scheduler-{zone}-{number}'
         own = self.scheduler_addresses[zone][number]
         foreign = [
@@ -167,7 +167,7 @@
             if other != zone
         ]
         settings = {
-            **self._common(name, zone, timings or {}),
+            **self._common_settings(name, zone, timings or {}),
             'listen': own,
             'seeds': [
                 address
@@ -180,7 +180,7 @@
         path = self._write(name, settings)
         return await self.spawn(name, 'orchidrail-scheduler', str(path))
 
-    def _common(
+    def _common_settings(
         self,
         name: str,
         zone: str,
@@ -213,7 +213,7 @@
         return started
 
     async def command(self, operator: str, *words: str) -> tuple[int, str]:
-        """Run the operators' command; return its exit code and output."""
+        """Run the `orchidrail` command; return its exit code and output."""
         environment = {
             **os.environ,
             'ORCHIDRAIL_SETTINGS': str(self.operator_settings(operator)),
@@ -233,13 +233,13 @@
         """Draft, review, sign off and publish a bundle."""
         path = self.folder / 'bundle.json'
         path.write_text(json.dumps(bundle))
-        draft = await self._step('alice', 'bundle', 'draft', str(path))
-        await self._step('bob', 'bundle', 'review', draft)
-        await self._step('carol', 'bundle', 'sign-off', draft)
-        return await self._step('alice', 'bundle', 'publish', draft)
+        draft = await self._run_command('alice', 'bundle', 'draft', str(path))
+        await self._run_command('bob', 'bundle', 'review', draft)
+        await self._run_command('carol', 'bundle', 'sign-off', draft)
+        return await self._run_command('alice', 'bundle', 'publish', draft)
 
     async def wait_serving(self) -> None:
-        """Wait until all gateways serve."""
+        """Wait until all gateways report that they are ready."""
         async with httpx.AsyncClient(trust_env=False) as client:
             for address in self.all_gateways():
                 await self._wait_gateway(client, address)
@@ -254,7 +254,7 @@
             if answer.status_code == 200:
                 return
             await asyncio.sleep(0.1)
-        raise TimeoutError(f'{address} does not serve')
+        raise TimeoutError(f'{address} is not ready, expected status 200')
 
     def all_gateways(self) -> list[str]:
         """Return the addresses of all gateways."""
@@ -265,7 +265,7 @@
         ]
 
     def journal(self) -> list[dict[str, Any]]:
-        """Return what the workers themselves have recorded."""
+        """Return the journal entries that the workers logged."""
         return [
             line['entry']
             for process in self.by_name.values()
@@ -274,7 +274,7 @@
         ]
 
     def faults(self) -> list[str]:
-        """Return broken promises that the workers or daemons told of."""
+        """Return the violated invariants that workers or daemons logged."""
         return [
             json.dumps(line)
             for process in self.by_name.values()
@@ -283,18 +283,18 @@
         ]
 
     def operator_settings(self, operator: str) -> pathlib.Path:
-        """Return the path of an operator's settings."""
+        """Return the path of an operator's settings file."""
         return self._settings_by_name[operator]
 
     async def stop(self) -> None:
-        """End all processes: daemons in a planned way, then stand-ins."""
+        """Shut down the daemons, then the stand-ins."""
         daemons = [
             process
             for name, process in self.by_name.items()
             if name.startswith(('gateway', 'scheduler'))
         ]
-        await _end(daemons)
-        await _end(list(self.by_name.values()))
+        await _terminate(daemons)
+        await _terminate(list(self.by_name.values()))
 
     def _make_operators(self) -> None:
         roles = {'alice': ['draft'], 'bob': ['review'], 'carol': ['signOff']}
@@ -324,10 +324,12 @@
         path.write_text(json.dumps(settings, indent=2))
         return path
 
-    async def _step(self, operator: str, *words: str) -> str:
+    async def _run_command(self, operator: str, *words: str) -> str:
         code, output = await self.command(operator, *words)
         if code:
-            raise RuntimeError(f'{words!r} ended with {code}: {output}')
+            raise RuntimeError(
+                f'{words!r} exited with {code}, expected 0: {output}'
+            )
         return output
 
     async def _wait_ready(self, process: Process) -> None:
@@ -341,10 +343,10 @@
         ended.cancel()
         if not ready.done():
             ready.cancel()
-            raise RuntimeError(f'{process.name} did not become ready')
+            raise RuntimeError(f'{process.name} did not log that it is ready')
 
 
-async def _end(processes: list[Process]) -> None:
+async def _terminate(processes: list[Process]) -> None:
     running = [
         process for process in processes if process.process.returncode is None
     ]
@@ -365,7 +367,7 @@
     stack: AsyncExitStack,
     timings: dict[str, float] | None = None,
 ) -> Cell:
-    """Start a cell that the stack stops."""
+    """Start a cell that is stopped when the stack closes."""
     folder = stack.enter_context(tempfile.TemporaryDirectory())
     cell = Cell(pathlib.Path(folder))
     stack.push_async_callback(cell.stop)
--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,7 +1,8 @@
-"""``make demo``: two zones on loopback, real requests, one scheduler killed.
+"""``make demo``: two zones on loopback under load, with a scheduler killed.
 
-Ends with 1 if anything was lost or doubled. With ``--keep`` it goes on until
-it is interrupted, and prints what to try.
+Exits with 1 if work was lost, ran twice or did not finish, or if a process
+logged a fault. With ``--keep`` it sends no load, prints commands to try and
+runs until it is interrupted.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 _TAG_CHECKS = 120
 _PREVIEWS = 120
-_KILLED = 'scheduler-hall-1-0'
+_KILLED_SCHEDULER = 'scheduler-hall-1-0'
 _COLUMNS = (
     'class',
     'sent',
@@ -53,8 +54,8 @@
 
 async def _kill(cell: Cell) -> None:
     await asyncio.sleep(2)
-    cell.by_name[_KILLED].process.kill()
-    print(f'demo: killed {_KILLED}')
+    cell.by_name[_KILLED_SCHEDULER].process.kill()
+    print(f'demo: killed {_KILLED_SCHEDULER}')
 
 
 async def _load(cell: Cell, caller: Caller) -> None:
@@ -76,7 +77,7 @@
             print(f'refused: {entry.class_name}: {entry.detail}')
 
 
-def _print_what_to_try(cell: Cell) -> None:
+def _print_usage(cell: Cell) -> None:
     settings = cell.operator_settings('alice')
     print(f'export ORCHIDRAIL_SETTINGS={settings}')
     print('orchidrail status')
@@ -85,20 +86,20 @@
     for zone, addresses in cell.gateways.items():
         print(f'gateways of {zone}: {addresses}')
     print(f'bearer key: {cell.tenant_key}')
-    print('end with Ctrl-C')
+    print('stop with Ctrl-C')
 
 
 async def demo(*, keep: bool) -> int:
     """Run the demo and return the exit code."""
     async with AsyncExitStack() as stack:
         cell = await open_cell(stack)
-        print(f'demo: {len(cell.by_name)} processes are up')
+        print(f'demo: {len(cell.by_name)} processes are ready')
         print(await cell.publish(small_bundle(cell)))
         await cell.wait_serving()
         caller = Caller(cell.all_gateways(), cell.tenant_key)
         stack.push_async_callback(caller.close)
         if keep:
-            _print_what_to_try(cell)
+            _print_usage(cell)
             await asyncio.Event().wait()
         await _load(cell, caller)
         _print_table(caller)
--- a/tools/generate_schema.py
+++ b/tools/generate_schema.py
@@ -1,6 +1,6 @@
-"""Write ``orchidrail/wire/schema.capnp`` from ``orchidrail/wire/messages.py``.
+"""Writes ``orchidrail/wire/schema.capnp`` from ``orchidrail/wire/messages.py``.
 
-Run it after a change of the messages; a test compares the two.
+Run it after a change to the messages; a test checks that the two agree.
 """
 
 from __future__ import annotations
@@ -33,10 +33,10 @@
 
 
 class SchemaWriter:
-    """Collects the declarations that the envelope needs."""
+    """Collects the declarations of all types that the envelope refers to."""
 
     def __init__(self) -> None:
-        """Start with nothing declared."""
+        """Start without declarations."""
         self._declarations: dict[str, str] = {}
 
     def render(self) -> str:
--- a/tools/known_red.py
+++ b/tools/known_red.py
@@ -1,8 +1,9 @@
-"""Tests that are known to fail: run all the same, printed, never hidden.
+"""pytest plugin for tests that are known to fail.
 
-`KNOWN-RED.txt` at the root has one line each: test, cause, issue, with ` | `
-between them. Such a test must fail: one that passes, or that is not there, is
-an error, as is a longer list.
+`KNOWN-RED.txt` at the root has one line for each: test, cause and issue,
+separated by ` | `. These tests run and their failures are printed. A listed
+test that passes or does not exist is an error, and so is a list that is too
+long.
 """
 
 from __future__ import annotations
@@ -14,8 +15,8 @@
 import pytest
 
 LIST_NAME = 'KNOWN-RED.txt'
-#: Most faults that may be left for a next time, as the project agreed.
-MOST_LISTED = 3
+#: Bound on the number of listed tests, by the project's rules.
+MAX_LISTED = 3
 _SEPARATOR = ' | '
 _FIELDS = 3
 _PLUGIN = 'known-red'
@@ -30,11 +31,11 @@
 
 
 class ListError(ValueError):
-    """The list can't be read, or is too long."""
+    """The list is malformed or too long."""
 
 
 def read_list(text: str) -> dict[str, KnownRed]:
-    """Return the listed tests by name.
+    """Return the listed tests by node ID.
 
     Raises
     ------
@@ -49,10 +50,8 @@
     """
     lines = [line.strip() for line in text.splitlines()]
     rows = [line for line in lines if line and not line.startswith('#')]
-    if len(rows) > MOST_LISTED:
-        raise ListError(
-            f'{len(rows)!r} tests, expected {MOST_LISTED!r} at most'
-        )
+    if len(rows) > MAX_LISTED:
+        raise ListError(f'{len(rows)!r} tests, expected {MAX_LISTED!r} at most')
     listed = [_read_row(row) for row in rows]
     return {known.test: known for known in listed}
 
@@ -70,10 +69,11 @@
     Parameters
     ----------
     known_by_test : dict
+        Listed tests by node ID.
     """
 
     def __init__(self, known_by_test: dict[str, KnownRed]) -> None:
-        """Start with no test run."""
+        """Start without recorded failures."""
         self._known_by_test = known_by_test
         self._failed: set[str] = set()
 
@@ -82,7 +82,7 @@
         config: pytest.Config,
         items: list[pytest.Item],
     ) -> None:
-        """Fail if all tests are collected and a listed one is not there."""
+        """Fail if a whole-suite run does not collect a listed test."""
         parts = config.getoption('file_or_dir') or config.getoption('keyword')
         missing = self._known_by_test.keys() - {item.nodeid for item in items}
         if missing and not parts:
@@ -97,7 +97,7 @@
         item: pytest.Item,
         call: pytest.CallInfo[None],
     ) -> Generator[None, pytest.TestReport, pytest.TestReport]:
-        """Turn the outcome of a listed test round."""
+        """Invert the outcome of a listed test."""
         report = yield
         if call.when != 'call' or item.nodeid not in self._known_by_test:
             return report
@@ -114,7 +114,7 @@
         self,
         terminalreporter: pytest.TerminalReporter,
     ) -> None:
-        """Print what was passed over."""
+        """Print the listed tests that failed."""
         for test in sorted(self._failed):
             known = self._known_by_test[test]
             terminalreporter.write_line(
@@ -124,7 +124,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list at the root of the tests."""
+    """Read the list in the root folder and register the plugin."""
     path = pathlib.Path(config.rootpath) / LIST_NAME
     if not path.exists():
         return
--- a/tools/losses.py
+++ b/tools/losses.py
@@ -1,9 +1,9 @@
-"""What held late jobs up, from the log lines of the system's processes.
+"""Causes of late jobs, from the log lines of the processes.
 
-``python -m tools.losses FILE...`` reads JSON lines, also those with a time
-and a name before them, and prints by queue and cause how many jobs were late
-and for how many seconds they waited. Of jobs that are not over it prints what
-their tasks waited for longest. `--worth QUEUE=X` weighs a queue's jobs.
+``python -m tools.losses FILE...`` reads JSON lines, with or without a time and
+a name in front, and prints by queue and cause how many jobs were late and by
+how many seconds. For unfinished jobs it prints what their tasks waited for in
+their longest wait. `--worth` gives the worth of one job by queue.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 from orchidrail.shard.eligibility import IneligibleReason
 
-#: Part of a late job's time that a cause must have taken to be named.
-_LEAST_SHARE = 0.1
-#: Times the expected end after which a job is of no use any more.
-_USELESS_AFTER = 3
-_RANK_BY_OBSTACLE = {
-    obstacle.value: rank for rank, obstacle in enumerate(IneligibleReason)
+#: Share of a late job's duration that a wait must exceed to be its cause.
+_MIN_SHARE = 0.1
+#: A job is useless after this multiple of its expected duration.
+_USELESS_FACTOR = 3
+_RANK_BY_REASON = {
+    reason.value: rank for rank, reason in enumerate(IneligibleReason)
 }
 
 
 class _Ended(NamedTuple):
-    """What the line of a job that is over tells."""
+    """Fields of the log line of an ended job."""
 
     job: str
     queue: str
@@ -45,18 +45,18 @@
 
     @property
     def useless(self) -> bool:
-        return self.took > _USELESS_AFTER * self.expected
+        return self.took > _USELESS_FACTOR * self.expected
 
     def cause(self) -> str:
-        """Name what took the largest part of the time beyond the work."""
+        """Return the longest wait, or else the probable cause."""
         longest = max(self.waits, key=self.waits.__getitem__, default='')
-        if longest and self.waits[longest] > _LEAST_SHARE * self.took:
+        if longest and self.waits[longest] > _MIN_SHARE * self.took:
             return longest
         return 'failed runs' if self.failures else 'slow or unseen'
 
 
 class _Waiting(NamedTuple):
-    """What a line of tasks that wait tells."""
+    """Fields of the log line of waiting tasks."""
 
     job: str
     queue: str
@@ -65,60 +65,58 @@
     workers: dict[str, int]
 
     def cause(self) -> str:
-        """Name what they wait for, and what kept the nearest worker off."""
-        nearest = max(
-            self.workers, key=_RANK_BY_OBSTACLE.__getitem__, default=''
-        )
+        """Return the wait reason and why the nearest worker is ineligible."""
+        nearest = max(self.workers, key=_RANK_BY_REASON.__getitem__, default='')
         return f'{self.reason or "nothing"}, {nearest or "no worker"}'
 
 
 class _Tally:
-    """What the lines tell of all jobs."""
+    """Collects the log lines by job and queue."""
 
     def __init__(self) -> None:
-        """Start without any job."""
+        """Start without log lines."""
         self.ended_by_queue: dict[str, list[_Ended]] = defaultdict(list)
-        self.refused: Counter[str] = Counter()
-        self._over: set[str] = set()
+        self.rejections: Counter[str] = Counter()
+        self._ended_jobs: set[str] = set()
         self._longest_by_job: dict[str, _Waiting] = {}
-        self._note_by_event = {
-            'job over': self._note_over,
-            'job refused': self._note_refused,
-            'job not accepted': self._note_refused,
-            'tasks wait': self._note_waiting,
+        self._recorder_by_event = {
+            'job over': self._record_end,
+            'job refused': self._record_rejection,
+            'job not accepted': self._record_rejection,
+            'tasks wait': self._record_waiting,
         }
 
-    def note(self, entry: dict[str, object]) -> None:
-        """Take one line."""
-        note = self._note_by_event.get(str(entry.get('event')))
-        if note is not None:
-            note(entry)
+    def record(self, entry: dict[str, object]) -> None:
+        """Record one log line; other events are ignored."""
+        record = self._recorder_by_event.get(str(entry.get('event')))
+        if record is not None:
+            record(entry)
 
     def waiting_by_queue(self) -> dict[str, list[_Waiting]]:
-        """Return the longest wait of each job that is not over."""
+        """Return the longest wait of each unfinished job."""
         waiting_by_queue: dict[str, list[_Waiting]] = defaultdict(list)
         for job, waiting in self._longest_by_job.items():
-            if job not in self._over:
+            if job not in self._ended_jobs:
                 waiting_by_queue[waiting.queue].append(waiting)
         return waiting_by_queue
 
-    def _note_over(self, entry: dict[str, object]) -> None:
+    def _record_end(self, entry: dict[str, object]) -> None:
         ended = _Ended(*_pick(entry, _Ended._fields))
-        self._over.add(ended.job)
+        self._ended_jobs.add(ended.job)
         self.ended_by_queue[ended.queue].append(ended)
 
-    def _note_waiting(self, entry: dict[str, object]) -> None:
+    def _record_waiting(self, entry: dict[str, object]) -> None:
         waiting = _Waiting(*_pick(entry, _Waiting._fields))
         longest = self._longest_by_job.setdefault(waiting.job, waiting)
         if waiting.seconds > longest.seconds:
             self._longest_by_job[waiting.job] = waiting
 
-    def _note_refused(self, entry: dict[str, object]) -> None:
-        self.refused[f'{entry["queue"]}: {entry["event"]}'] += 1
+    def _record_rejection(self, entry: dict[str, object]) -> None:
+        self.rejections[f'{entry["queue"]}: {entry["event"]}'] += 1
 
 
 def read_lines(paths: tuple[str, ...]) -> Iterator[dict[str, object]]:
-    """Yield the JSON objects of log files; other lines are passed over."""
+    """Yield the JSON objects of log files; other lines are skipped."""
     for path in paths:
         for line in pathlib.Path(path).read_text().splitlines():
             begin = line.find('{')
@@ -143,8 +141,10 @@
     count_by_cause = Counter(job.cause() for job in late)
     for cause, count in count_by_cause.most_common():
         of_cause = [job for job in late if job.cause() == cause]
-        over = sum(job.took - job.expected for job in of_cause)
-        print(f'  {cause:14} {count:4} jobs {over:8.1f} s {worth * count:8.2f}')
+        overrun = sum(job.took - job.expected for job in of_cause)
+        print(
+            f'  {cause:14} {count:4} jobs {overrun:8.1f} s {worth * count:8.2f}'
+        )
 
 
 def _print_waiting(
@@ -162,24 +162,24 @@
 
 
 def report(*paths: str, worth: dict[str, float] | None = None) -> None:
-    """Print the table of all files.
+    """Print the causes of late and unfinished jobs in all files.
 
     Parameters
     ----------
     paths : str
         Log files.
     worth : dict, optional
-        Worth of one job by the name of its queue; 1 where none is given.
+        Worth of one job by queue name; the default is 1.
     """
     tally = _Tally()
     for entry in read_lines(paths):
-        tally.note(entry)
+        tally.record(entry)
     worth_by_queue = worth or {}
     for queue, ended in sorted(tally.ended_by_queue.items()):
         _print_queue(queue, ended, worth_by_queue.get(queue, 1))
     for queue, waiting in sorted(tally.waiting_by_queue().items()):
         _print_waiting(queue, waiting, worth_by_queue.get(queue, 1))
-    for what, count in tally.refused.most_common():
+    for what, count in tally.rejections.most_common():
         print(f'{what}: {count} times')
 
 
--- a/tools/tests/test_known_red.py
+++ b/tools/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Tests of the list of tests that are known to fail."""
+"""Tests of the pytest plugin for tests that are known to fail."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tools.known_red import ListError, read_list
 
 _ROOT = pathlib.Path(__file__).parents[2]
-_LONGEST = 60
+_TIMEOUT_S = 60
 _TESTS = """
 def test_good():
     assert True
@@ -27,11 +27,11 @@
 
 
 class ListTest(TestCase):
-    def test_a_row_without_a_cause_is_refused(self) -> None:
+    def test_row_without_cause_is_rejected(self) -> None:
         error = self.assertRaises(ListError, read_list, 'a.py::b |  | 3')
         self.assertIn('a.py::b', str(error))
 
-    def test_a_fourth_row_is_refused(self) -> None:
+    def test_fourth_row_is_rejected(self) -> None:
         rows = '\n'.join(f'a.py::test_{row} | why | 3' for row in range(4))
         self.assertRaises(ListError, read_list, rows)
         self.assertEqual(3, len(read_list(rows[: rows.rindex('\n')])))
@@ -54,30 +54,38 @@
             env={**os.environ, 'PYTHONPATH': str(_ROOT)},
             capture_output=True,
             text=True,
-            timeout=_LONGEST,
+            timeout=_TIMEOUT_S,
             check=False,
         )
 
-    def test_just_the_listed_tests_are_passed_over_and_printed(self) -> None:
-        ran = self.run_tests(
+    def test_listed_failures_are_skipped_and_printed(self) -> None:
+        completed = self.run_tests(
             'test_some.py::test_bad | broken | issue 1\n'
             'test_some.py::test_worse | the same | issue 1\n'
         )
-        self.assertEqual(0, ran.returncode, ran.stdout)
-        self.assertIn('test_some.py::test_bad (broken; issue 1)', ran.stdout)
-        self.assertIn('test_some.py::test_worse', ran.stdout)
-
-    def test_a_failing_test_that_is_not_listed_fails_the_run(self) -> None:
-        ran = self.run_tests('test_some.py::test_bad | broken | issue 1\n')
-        self.assertEqual(1, ran.returncode, ran.stdout)
-        self.assertIn('FAILED test_some.py::test_worse', ran.stdout)
-
-    def test_a_listed_test_that_passes_fails_the_run(self) -> None:
-        ran = self.run_tests('test_some.py::test_good | mended | issue 1\n')
-        self.assertEqual(1, ran.returncode, ran.stdout)
-        self.assertIn('FAILED test_some.py::test_good', ran.stdout)
-
-    def test_a_listed_test_that_is_not_there_fails_the_run(self) -> None:
-        ran = self.run_tests('test_some.py::test_gone | renamed | issue 1\n')
-        self.assertNotEqual(0, ran.returncode)
-        self.assertIn('test_gone', ran.stdout + ran.stderr)
+        self.assertEqual(0, completed.returncode, completed.stdout)
+        self.assertIn(
+            'test_some.py::test_bad (broken; issue 1)', completed.stdout
+        )
+        self.assertIn('test_some.py::test_worse', completed.stdout)
+
+    def test_unlisted_failure_fails_the_run(self) -> None:
+        completed = self.run_tests(
+            'test_some.py::test_bad | broken | issue 1\n'
+        )
+        self.assertEqual(1, completed.returncode, completed.stdout)
+        self.assertIn('FAILED test_some.py::test_worse', completed.stdout)
+
+    def test_listed_test_that_passes_fails_the_run(self) -> None:
+        completed = self.run_tests(
+            'test_some.py::test_good | mended | issue 1\n'
+        )
+        self.assertEqual(1, completed.returncode, completed.stdout)
+        self.assertIn('FAILED test_some.py::test_good', completed.stdout)
+
+    def test_missing_listed_test_fails_the_run(self) -> None:
+        completed = self.run_tests(
+            'test_some.py::test_gone | renamed | issue 1\n'
+        )
+        self.assertNotEqual(0, completed.returncode)
+        self.assertIn('test_gone', completed.stdout + completed.stderr)
--- a/tools/tests/test_losses.py
+++ b/tools/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""Tests of the table of what held late jobs up."""
+"""Tests of the report on causes of late jobs."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 class LossesTest(unittest.TestCase):
     def print_report(self, *entries: dict[str, object]) -> str:
-        """Return what is printed for lines as a bench shows them."""
+        """Return the report on log lines in the format of a bench."""
         lines = [f'  1.5 node {json.dumps(entry)}' for entry in entries]
         with tempfile.TemporaryDirectory() as folder:
             path = pathlib.Path(folder, 'log')
@@ -48,20 +48,20 @@
                 report(str(path), worth={'q': 0.5})
         return printed.getvalue()
 
-    def test_a_late_job_is_counted_under_its_longest_wait(self) -> None:
+    def test_late_job_is_counted_under_its_longest_wait(self) -> None:
         printed = self.print_report(_LATE, {**_LATE, 'took': 1.0})
         self.assertIn('q: 2 ended, 1 late, 1 useless', printed)
         self.assertRegex(printed, r'room +1 jobs +7\.0 s +0\.50')
 
-    def test_a_job_without_waits_is_put_down_to_its_failed_runs(self) -> None:
+    def test_late_job_without_waits_is_attributed_to_failed_runs(self) -> None:
         printed = self.print_report({**_LATE, 'waits': {}, 'failures': 1})
         self.assertIn('failed runs', printed)
 
-    def test_refusals_are_counted(self) -> None:
+    def test_rejections_are_counted(self) -> None:
         printed = self.print_report({'event': 'job refused', 'queue': 'q'})
         self.assertIn('q: job refused: 1 times', printed)
 
-    def test_a_job_that_is_not_over_is_counted_by_its_longest_wait(
+    def test_unfinished_job_is_counted_by_its_longest_wait(
         self,
     ) -> None:
         earlier = {**_WAITING, 'seconds': 2.5, 'workers': {'room': 32}}
@@ -69,10 +69,10 @@
         self.assertIn('q: 1 waited and are not over', printed)
         self.assertRegex(printed, r'room, failed +1 jobs +6\.5 s +0\.50')
 
-    def test_a_wait_of_a_job_that_is_over_is_told_by_its_end(self) -> None:
+    def test_ended_job_is_not_listed_as_waiting(self) -> None:
         printed = self.print_report({**_WAITING, 'job': 'a'}, _LATE)
         self.assertNotIn('are not over', printed)
 
-    def test_waits_for_no_worker_in_particular_are_counted(self) -> None:
-        nobody = {**_WAITING, 'workers': {}, 'reason': ''}
-        self.assertIn('nothing, no worker', self.print_report(nobody))
+    def test_wait_without_worker_reasons_is_counted(self) -> None:
+        no_worker = {**_WAITING, 'workers': {}, 'reason': ''}
+        self.assertIn('nothing, no worker', self.print_report(no_worker))
--- a/tools/tests/test_variants.py
+++ b/tools/tests/test_variants.py
@@ -1,4 +1,4 @@
-"""Tests of the copies of site files with drawn parameters."""
+"""Tests of the variants of site files."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class VariantsTest(TestCase):
-    def test_a_copy_differs_only_in_what_was_drawn(self) -> None:
+    def test_copy_differs_only_in_drawn_values(self) -> None:
         for seed in range(20):
             text, drawn = draw(_SITE, Random(seed))
             site = tomllib.loads(text)
@@ -33,10 +33,10 @@
             rate = site['traffic'][0]['per_s']
             self.assertEqual(20 * float(drawn['rate']), rate)
 
-    def test_the_same_seed_draws_the_same(self) -> None:
+    def test_same_seed_draws_same_values(self) -> None:
         self.assertEqual(draw(_SITE, Random(3)), draw(_SITE, Random(3)))
 
-    def test_copies_stay_outside_the_repository(self) -> None:
+    def test_folder_inside_the_repository_is_rejected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             site = pathlib.Path(folder) / 'site.toml'
             site.write_text(_SITE)
