--- a/orchidrail/deciding/engine.py
+++ b/orchidrail/deciding/engine.py
@@ -263,10 +263,10 @@
         if item.class_name not in self._bundle.classes:
             return self._decline(item, RefusalCode.INVALID, 'unknown class')
         if not self._within_quota(item.tenant, NOTHING, item):
-            detail = f'{item.size!r} exceeds the quota of {item.tenant!r}'
+            detail = f'{item.size!r} is more than the quota of {item.tenant!r}'
             return self._decline(item, RefusalCode.NEVER_FITS, detail)
         if not self.ever_fits(item):
-            detail = f'no worker here fits {item.size!r} even when empty'
+            detail = f'no worker here can ever hold {item.size!r}'
             return self._decline(item, RefusalCode.NEVER_FITS, detail)
         return None
 
@@ -636,7 +636,7 @@
         return any(item.size.fits(shape) for shape in self.peer_shapes)
 
     def _redirect(self, item: WorkItem) -> Declined:
-        detail = 'no worker of this scheduler can run it at present'
+        detail = 'no worker here could take it at the moment'
         return self._decline(item, RefusalCode.NOT_HOLDER, detail)
 
     def _decline(
--- a/orchidrail/gateway/main.py
+++ b/orchidrail/gateway/main.py
@@ -22,13 +22,14 @@
 
 
 class _Server(uvicorn.Server):
-    """HTTP server that leaves signals to `serve`.
+    """HTTP server meant to leave signals to `serve`.
 
-    Shutdown must also flush pending reports to the schedulers.
+    Shutdown must also flush pending reports to the schedulers. Versions of
+    uvicorn with ``capture_signals`` never call `install_signal_handlers`.
     """
 
     def install_signal_handlers(self) -> None:
-        """Keep the handlers that `serve` installs."""
+        """Install none, so that the handlers of `serve` stay."""
 
 
 def run(settings: str) -> None:
--- a/orchidrail/scheduler/daemon.py
+++ b/orchidrail/scheduler/daemon.py
@@ -335,7 +335,7 @@
 
     @singledispatchmethod
     async def _handle(self, message: Message) -> Message:
-        detail = f'a scheduler does not accept {type(message).__name__!r}'
+        detail = f'a scheduler does not take {type(message).__name__!r}'
         return Refusal(code=RefusalCode.INVALID, detail=detail)
 
     @_handle.register
@@ -441,7 +441,7 @@
         """
         if self.engine.find_class(class_name) is not None:
             return None
-        detail = f'work class {class_name!r} is not in the current bundle'
+        detail = f'{class_name!r} is not known here at the moment'
         return Refusal(code=RefusalCode.NOT_HOLDER, detail=detail)
 
     def _apply_ended_tasks(
--- a/orchidrail/scheduler/dispatcher.py
+++ b/orchidrail/scheduler/dispatcher.py
@@ -159,6 +159,6 @@
         return Declined(
             item,
             RefusalCode.DEADLINE,
-            'no capacity became free before the deadline',
+            'no place became free in time',
             admission.retry_after(wait),
         )
--- a/orchidrail/scheduler/job_desk.py
+++ b/orchidrail/scheduler/job_desk.py
@@ -62,7 +62,7 @@
 _MIN_POLL_TIME: Seconds = 2
 _CANCEL_TIMEOUT: Seconds = 5
 _WITNESS_FIELD = 2
-_REFUSED_BEFORE = 'the key was refused before; request a new one'
+_REFUSED_BEFORE = 'the key was refused before; take a new one'
 _log = structlog.get_logger()
 
 
@@ -82,7 +82,7 @@
         witness = WorkerId(answer.key.split('.')[_WITNESS_FIELD])
         backup = await self._daemon.mover.choose_backup(witness)
         if backup is None:
-            detail = 'no second worker responds to be the backup witness'
+            detail = 'no second worker answers at the moment'
             return Refusal(code=RefusalCode.UNREACHABLE, detail=detail)
         return KeyIssued(key=extend_key(answer.key, *backup))
 
@@ -118,7 +118,7 @@
         return await self._decline(
             spec,
             RefusalCode.LOG_DOWN,
-            'the platform log did not commit the job in time',
+            'the platform has not kept the job in time',
             jitter(self._daemon.ports.random, _LOG_RETRY),
         )
 
@@ -149,7 +149,7 @@
         uncertain = kept == Err(LogFailure.ANSWER_LOST)
         return Refusal(
             code=RefusalCode.LOG_DOWN,
-            detail='the platform log did not commit the cancellation in time',
+            detail='the platform has not kept the cancellation in time',
             verdict=Verdict.MAY_HAVE_RUN if uncertain else Verdict.NOT_RUN,
             retry_after=_LOG_RETRY,
         )
@@ -179,7 +179,7 @@
             _log.info('committed job is not acknowledged yet', job=spec.key)
         return Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail='the job is committed, but its witnesses do not respond yet',
+            detail='the job is kept, but its witnesses do not answer yet',
             verdict=Verdict.MAY_HAVE_RUN,
             retry_after=_WITNESS_RETRY,
         )
--- a/orchidrail/scheduler/job_runner.py
+++ b/orchidrail/scheduler/job_runner.py
@@ -250,7 +250,7 @@
         owned.recall(claims)
         if not confirmed:
             await self._claims.note_refused(owned.entry)
-            owned.detail = 'refused to its caller before it was committed'
+            owned.detail = 'refused to its caller before it was kept'
             owned.refused = True
             owned.cancelling.set()
 
@@ -279,7 +279,7 @@
         work_class = self._placer.work_class(owned.entry.spec.class_name)
         repeatable = work_class is not None and work_class.repeatable
         if owned.entry.claims_lost and not group.notes and not repeatable:
-            raise JobFailedError('may have run: both of its witnesses are lost')
+            raise JobFailedError('may have run: both of its witnesses are gone')
 
     async def _start_attempt(self, owned: OwnedJob, group: TaskGroup) -> None:
         attempt = owned.next_attempt(group)
@@ -415,10 +415,10 @@
         allowed = 1 if work_class is None else work_class.max_attempts
         action = ACTION_BY_OUTCOME[ending, repeatable]
         if action is OutcomeAction.FAIL_MAY_HAVE_RUN:
-            raise JobFailedError('may have run: its worker is lost')
+            raise JobFailedError('may have run: its worker is gone')
         group.count_loss(ending)
         if group.losses >= _MAX_LOSSES:
-            raise JobFailedError(f'a task lost {group.losses} workers in a row')
+            raise JobFailedError(f'{group.losses} workers ended under a task')
         if action in _COUNTED_ACTIONS:
             group.count_failure(reports)
         if action is OutcomeAction.FAIL or group.failures >= allowed:
--- a/orchidrail/scheduler/placer.py
+++ b/orchidrail/scheduler/placer.py
@@ -306,9 +306,7 @@
         """Start a task in the capacity reserved for it."""
         reservation = self._reservation_by_token.get(message.token)
         if reservation is None or reservation.task != message.task.key:
-            return Refusal(
-                code=RefusalCode.UNKNOWN, detail='no such reservation'
-            )
+            return Refusal(code=RefusalCode.UNKNOWN, detail='no reservation')
         self._reservation_by_token.pop(message.token)
         held = self._keeper.authorised(reservation.worker)
         if held is None:
@@ -331,7 +329,7 @@
         engine = self._dispatcher.engine
         if engine.charges(message.task):
             # A delayed duplicate must not share the existing allocation.
-            return Refusal(code=RefusalCode.INVALID, detail='already allocated')
+            return Refusal(code=RefusalCode.INVALID, detail='it has room')
         now = self._ports.clock()
         item = WorkItem(
             message.task,
--- a/orchidrail/scheduler/request_desk.py
+++ b/orchidrail/scheduler/request_desk.py
@@ -111,7 +111,7 @@
         )
         held = None if place is None else self._keeper.authorised(place.worker)
         if held is None:
-            return _not_holder('this scheduler holds no worker at the moment')
+            return _not_holder('no worker is held here at the moment')
         key = issue_key(
             self._ports.new_id(),
             self._settings.zone,
@@ -197,7 +197,7 @@
         held = self._keeper.authorised(place.worker)
         if held is None:
             self._dispatcher.undo(outcome)
-            return _not_holder(f'the lease of {place.worker!r} has expired')
+            return _not_holder(f'the lease of {place.worker!r} has lapsed')
         note = ClaimNote(
             held.instance.name,
             held.boot,
@@ -242,15 +242,15 @@
         if isinstance(claimed, Ok) and not is_refused(claimed.ok_value):
             return self._answer_settled(claimed.ok_value)
         if claimed != Err(StartFailure.UNSURE):
-            return _not_holder(f'the lease of {key.witness!r} has expired')
-        return _unknown_outcome('the outcome of the claim is unknown')
+            return _not_holder(f'the lease of {key.witness!r} has lapsed')
+        return _unknown_outcome('the claim could not be made for certain')
 
     def _grant_at(self, placed: Placed) -> Message:
         worker = placed.place.worker
         held = self._keeper.authorised(worker)
         if held is None:
             self._dispatcher.undo(placed)
-            return _not_holder(f'the lease of {worker!r} has expired')
+            return _not_holder(f'the lease of {worker!r} has lapsed')
         now = self._ports.clock()
         max_validity = self._settings.timings.grant_validity
         validity = min(max_validity, held.lease.remaining(now))
@@ -286,9 +286,7 @@
         )
         settled = await self._calls.settle(note, [key.claim])
         if not isinstance(settled, Ok):
-            return _unknown_outcome(
-                'the claim could not be settled at the witness'
-            )
+            return _unknown_outcome('its witness could not be asked')
         report = settled.ok_value[0]
         if report.state is TaskState.NEVER_STARTED:
             return _refusal_from(declined)
--- a/proving/breaks.py
+++ b/proving/breaks.py
@@ -153,7 +153,9 @@
 
 
 def _break_versions(stack: ExitStack) -> None:
-    stack.enter_context(mock.patch.object(Follower, '_pause', _poll_seldom))
+    stack.enter_context(
+        mock.patch.object(Follower, '_wait_for_next_poll', _poll_seldom),
+    )
     stack.enter_context(
         mock.patch.object(Gossiper, '_catch_up', _catch_nothing),
     )
