--- a/orchidrail/gateway/daemon.py
+++ b/orchidrail/gateway/daemon.py
@@ -255,7 +255,7 @@
                 return status_or_reply(answer.ok_value)
             if answer.err_value.value != 'notSent':
                 return Err(_unknown_outcome())
-        detail = f'no scheduler of zone {zone!r} is reachable'
+        detail = f'no scheduler of zone {zone!r} can be reached'
         # An earlier submission with this key may have been accepted.
         return Err(
             Reply(
@@ -307,7 +307,7 @@
         return Reply(
             Verdict.NOT_RUN,
             code=RefusalCode.QUOTA,
-            detail=f'tenant {tenant!r} exceeds its request rate',
+            detail=f'{tenant!r} is over its rate',
             retry_after=jitter(self.ports.random, _RATE_LIMIT_RETRY_AFTER),
         )
 
@@ -382,6 +382,6 @@
     return Reply(
         Verdict.MAY_HAVE_RUN,
         code=RefusalCode.UNKNOWN,
-        detail='the scheduler response was lost; query the job by its key',
+        detail='the answer was lost; ask for the job by its key',
         retry_after=1,
     )
--- a/orchidrail/gateway/http_api.py
+++ b/orchidrail/gateway/http_api.py
@@ -199,13 +199,13 @@
         if tenant is not None:
             return tenant
         if not self._daemon.ready():
-            raise _ProblemError(_problem(_UNREADY, 'no bundle received yet', 1))
+            raise _ProblemError(_problem(_UNREADY, 'no bundle yet', 1))
         if not text:
             raise _ProblemError(
                 _problem(_UNAUTHENTICATED, 'expected a bearer key')
             )
         status = STATUS_BY_CODE[RefusalCode.UNAUTHORISED]
-        raise _ProblemError(_problem(status, 'unknown bearer key'))
+        raise _ProblemError(_problem(status, 'the bearer key is not known'))
 
     async def _body(self, request: Request, kind: type[BodyT]) -> BodyT:
         limit = self._daemon.settings.max_body
@@ -311,7 +311,7 @@
 
 
 def _not_found(refusal: Refusal) -> Response:
-    detail = f'this tenant has no job {refusal.detail!r}'
+    detail = f'no job {refusal.detail!r} of this tenant'
     return _problem_response(_problem(_NOT_FOUND, detail))
 
 
--- a/orchidrail/gateway/request_runner.py
+++ b/orchidrail/gateway/request_runner.py
@@ -248,7 +248,7 @@
     def _unreachable(self) -> Refusal:
         return Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail=f'no scheduler of zone {self._zone!r} is reachable',
+            detail=f'no scheduler of zone {self._zone!r} can be reached',
             retry_after=jitter(self._random, _UNREACHABLE_RETRY_AFTER),
         )
 
@@ -343,7 +343,7 @@
             return _reply_from_refusal(granted, FailurePoint.NO_GRANT)
         refusal = Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail='no scheduler holds the lease of the witness of the key',
+            detail='no scheduler holds the witness of the key',
             retry_after=jitter(self._random, _UNREACHABLE_RETRY_AFTER),
         )
         return await self._resolve(key, refusal, call.deadline)
@@ -395,7 +395,7 @@
         note = ClaimNote(grant.worker, grant.boot, grant.address, grant.task)
         refusal = Refusal(
             code=RefusalCode.UNREACHABLE,
-            detail=f'start at worker {grant.worker!r} failed: {report.value}',
+            detail=f'{grant.worker!r}: {report.value}',
             retry_after=jitter(self._random, _REFUSED_RETRY_AFTER),
         )
         return await self._settle_task(note, refusal, call.deadline)
@@ -416,7 +416,7 @@
             refresh=False,
         )
         if holder is None or not holder.worker_address:
-            return _unknowable('the witness of the key is unreachable')
+            return _unknowable('the witness of the key can not be reached')
         note = ClaimNote(
             key.witness,
             key.boot,
@@ -425,7 +425,7 @@
         )
         claim = await self._query_task(note)
         if claim is None:
-            return _unknowable('the witness of the key is unreachable')
+            return _unknowable('the witness of the key can not be reached')
         if claim.state is TaskState.NEVER_STARTED:
             return _reply_from_refusal(refusal, FailurePoint.NO_GRANT)
         claimed = ClaimNote.parse(claim.note)
@@ -448,9 +448,7 @@
                 return _reply_from_refusal(refusal, FailurePoint.NO_GRANT)
             else:
                 return _reply_from_report(report)
-        return _unknowable(
-            f'worker {note.worker!r} did not answer before the deadline'
-        )
+        return _unknowable(f'{note.worker!r} has not answered in time')
 
     async def _query_task(self, note: ClaimNote) -> TaskReport | None:
         answer = await self._client.transport.call(
--- a/orchidrail/platform/callers.py
+++ b/orchidrail/platform/callers.py
@@ -147,18 +147,18 @@
 
     async def _submit(self, request: Request, target: _Target) -> Response:
         if not target.job_id:
-            return _text(HTTPStatus.NOT_FOUND, 'expected a job id in the path')
+            return _text(HTTPStatus.NOT_FOUND, 'a job needs an id')
         limits = target.config.limits
         time_budget = _time_budget(request, target.queue)
         try:
             async with asyncio.timeout(time_budget):
                 body = await _read_body(request, limits.body_bytes)
         except TimeoutError:
-            return _text(HTTPStatus.REQUEST_TIMEOUT, 'request body timed out')
+            return _text(HTTPStatus.REQUEST_TIMEOUT, 'the body did not come')
         if body is None:
             return _text(
                 HTTPStatus.REQUEST_ENTITY_TOO_LARGE,
-                f'expected a body of at most {limits.body_bytes!r} bytes',
+                f'more than {limits.body_bytes!r} bytes',
             )
         decoded = decode_job(body)
         if isinstance(decoded, Err):
@@ -190,7 +190,7 @@
     async def _cancel(self, request: Request, target: _Target) -> Response:
         if not target.job_id:
             return _text(
-                HTTPStatus.METHOD_NOT_ALLOWED, 'queues can not be deleted'
+                HTTPStatus.METHOD_NOT_ALLOWED, 'a queue is not removed here'
             )
         answer = await self._forwarder.cancel(
             target.job_id,
--- a/orchidrail/platform/documents.py
+++ b/orchidrail/platform/documents.py
@@ -153,12 +153,12 @@
     except DECODE_ERRORS as error:
         return Err(str(error))
     if len(job.spec.encode()) > _MAX_TEXT_BYTES:
-        return Err(f'spec: expected at most {_MAX_TEXT_BYTES} bytes of text')
+        return Err(f'expected at most {_MAX_TEXT_BYTES} bytes of text')
     if not job.phases:
         return Err('expected at least one step, got none')
     for number, step in enumerate(job.phases):
         if step.count < 1:
-            return Err(f'step {number}: expected a task, got {step.count!r}')
+            return Err(f'step {number}: expected tasks, got {step.count!r}')
         if any(not 0 <= earlier < number for earlier in step.after_revision):
             return Err(
                 f'step {number}: expected earlier steps, '
--- a/standins/machine.py
+++ b/standins/machine.py
@@ -211,7 +211,7 @@
 
     @singledispatchmethod
     def _answer(self, message: Message) -> Message:
-        detail = f'unsupported message {type(message).__name__!r}'
+        detail = f'a worker does not take {type(message).__name__!r}'
         return Refusal(code=RefusalCode.INVALID, detail=detail)
 
     @_answer.register
